--- a/benches/hot_paths.rs
+++ b/benches/hot_paths.rs
@@ -11,7 +11,8 @@
 use endivedyke::{
     Admission, Begin, ClusterKey, ConfigStore, Delta, Envelope, EnvelopeKey, EnvelopeKind,
     HOSTS_HEADER, Handed, HostList, HostRole, KeyRing, Ledger, LoadBoard, LoadReport, Opener,
-    Purpose, SealedId, ServiceId, Suspicion, TABLE_HEADER, Table, TableDiff, candidates, steer,
+    SealedId, SealedIdKind, ServiceId, Suspicion, TABLE_HEADER, Table, TableDiff, candidates,
+    steer,
 };
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -39,10 +40,10 @@
     let token = SealedId {
         host: host(1),
         incarnation: 1,
-        service: ServiceId::of("front"),
+        service: ServiceId::from_name("front"),
         nonce: 7,
     };
-    token.seal(ring, Purpose::Token, [1, 2, 3])
+    token.seal(ring, SealedIdKind::Token, [1, 2, 3])
 }
 
 /// A balancer's datagram: read the id, open the token, append the envelope.
@@ -54,7 +55,7 @@
         .expect("sound");
     let key = EnvelopeKey::new(&cluster);
     let suspicion = Suspicion::default();
-    let service = ServiceId::of("front");
+    let service = ServiceId::from_name("front");
     let envelope = Envelope {
         kind: EnvelopeKind::Inbound,
         service,
@@ -63,7 +64,7 @@
         revision: 1.into(),
     };
     let mut short = vec![0x40];
-    short.extend_from_slice(&token(store.ring()));
+    short.extend_from_slice(&token(store.key_ring()));
     short.resize(PACKET_BYTES, 0);
     let mut opener = vec![0xc0, 0, 0, 0, 1, 8, 1, 2, 3, 4, 5, 6, 7, 8];
     opener.resize(PACKET_BYTES, 0);
@@ -102,7 +103,7 @@
         }
         let list = HostList::parse(&text).expect("sound");
         let gather = || -> Rc<[Ipv4Addr]> {
-            list.in_role(HostRole::Entry)
+            list.with_role(HostRole::Entry)
                 .map(|host| host.address)
                 .collect()
         };
@@ -120,11 +121,11 @@
 fn tokens(criterion: &mut Criterion) {
     let ring = KeyRing::initial(&ClusterKey::new([7; 32]));
     let bytes = token(&ring);
-    let service = ServiceId::of("front");
+    let service = ServiceId::from_name("front");
     let mut group = criterion.benchmark_group("token");
     group.bench_function("seal", |bencher| bencher.iter(|| token(black_box(&ring))));
     group.bench_function("open", |bencher| {
-        bencher.iter(|| SealedId::open(&ring, Purpose::Token, service, black_box(&bytes)));
+        bencher.iter(|| SealedId::open(&ring, SealedIdKind::Token, service, black_box(&bytes)));
     });
     group.finish();
 }
--- a/lab/src/datagram_rate.rs
+++ b/lab/src/datagram_rate.rs
@@ -8,7 +8,7 @@
 
 use compio::BufResult;
 use endivedyke::{
-    CLUSTER_KEY_BYTES, ClusterKey, Code, Error, KeyRing, Purpose, Result, SealedId, ServiceId,
+    CLUSTER_KEY_BYTES, ClusterKey, Code, Error, KeyRing, Result, SealedId, SealedIdKind, ServiceId,
 };
 
 use crate::proc_stat;
@@ -57,11 +57,11 @@
         let token = SealedId {
             host,
             incarnation: 1,
-            service: ServiceId::of("front"),
+            service: ServiceId::from_name("front"),
             nonce: nonce as u32,
         };
         let mut packet = vec![0x40];
-        packet.extend_from_slice(&token.seal(&ring, Purpose::Token, [0; 3]));
+        packet.extend_from_slice(&token.seal(&ring, SealedIdKind::Token, [0; 3]));
         packet
     };
     (0..FLOWS).map(packet).collect()
--- a/lab/src/relay_model.rs
+++ b/lab/src/relay_model.rs
@@ -8,7 +8,7 @@
 use std::collections::BinaryHeap;
 use std::net::Ipv4Addr;
 
-use endivedyke::{HOSTS_HEADER, HostList, links, readers};
+use endivedyke::{HOSTS_HEADER, HostList, select_peers, select_readers};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -96,7 +96,7 @@
         .map(|_| !random.random_bool(plan.dead))
         .collect();
     let peers = (0..plan.daemons).map(|index| {
-        let links = links(&hosts, address(index), |_| true);
+        let links = select_peers(&hosts, address(index), |_| true);
         links.into_iter().map(index_of).collect()
     });
     let mut run = Run {
@@ -111,7 +111,7 @@
     };
     let mut platform_reads = 0;
     for zone in 0..ZONES {
-        for reader in readers(&hosts, &format!("zone-{zone}"), |_| true) {
+        for reader in select_readers(&hosts, &format!("zone-{zone}"), |_| true) {
             // One watch that returns, one read of the value.
             platform_reads += 2;
             run.events.push(Reverse((2, Event::Told(index_of(reader)))));
--- a/lab/src/service_model.rs
+++ b/lab/src/service_model.rs
@@ -8,7 +8,7 @@
 use std::net::Ipv4Addr;
 
 use endivedyke::{
-    Admission, Decision, Handed, LoadBoard, LoadReport, Opener, Row, TABLE_HEADER, Table,
+    Admission, Decision, Handed, LoadBoard, LoadReport, Opener, TABLE_HEADER, Table, TableRow,
     candidates,
 };
 use rand::rngs::StdRng;
@@ -260,7 +260,7 @@
 
     fn open_flow(&mut self) {
         let opener_hash = self.random.random();
-        let alive = |row: &Row| self.agents[index_of(row)].alive;
+        let alive = |row: &TableRow| self.agents[index_of(row)].alive;
         let Some(chosen) = candidates(&self.table, opener_hash, alive) else {
             self.refused += 1;
             return;
@@ -384,14 +384,14 @@
     }
 }
 
-fn index_of(row: &Row) -> usize {
+fn index_of(row: &TableRow) -> usize {
     row.target[1..].parse().unwrap_or(0)
 }
 
 /// Returns the greatest load over its share by the table, less one.
 pub fn imbalance(table: &Table, open_flows: &[u32]) -> f64 {
     let total: f64 = open_flows.iter().map(|flows| f64::from(*flows)).sum();
-    let excess = |row: &Row| {
+    let excess = |row: &TableRow| {
         let flows = open_flows.get(index_of(row)).copied().unwrap_or(0);
         f64::from(flows) / (total * table.share(row)).max(1.0) - 1.0
     };
--- a/lab/tests/hostile_peers.rs
+++ b/lab/tests/hostile_peers.rs
@@ -33,7 +33,7 @@
             if round % 3 == 0 {
                 let envelope = Envelope {
                     kind: EnvelopeKind::Inbound,
-                    service: ServiceId::of("queue-desk"),
+                    service: ServiceId::from_name("queue-desk"),
                     caller: port,
                     balancer: "127.0.0.1".parse().expect("an address"),
                     revision: u64::MAX.into(),
--- a/src/config/backend_entry.rs
+++ b/src/config/backend_entry.rs
@@ -33,16 +33,16 @@
     const ALL: [Self; 2] = [Self::Ready, Self::Draining];
 
     /// Returns the word for this state in published texts.
-    fn word(self) -> &'static str {
+    fn as_str(self) -> &'static str {
         match self {
             Self::Ready => "ready",
             Self::Draining => "draining",
         }
     }
 
-    fn of(word: &str) -> Option<Self> {
+    fn from_word(word: &str) -> Option<Self> {
         let mut states = Self::ALL.into_iter();
-        states.find(|state| state.word() == word)
+        states.find(|state| state.as_str() == word)
     }
 }
 
@@ -59,16 +59,16 @@
     const ALL: [Self; 2] = [Self::Malformed, Self::UnknownState];
 
     /// Returns the word for this reason in published texts and log lines.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Self::Malformed => "malformed",
             Self::UnknownState => "unknown-state",
         }
     }
 
-    fn of(word: &str) -> Option<Self> {
+    fn from_word(word: &str) -> Option<Self> {
         let mut reasons = Self::ALL.into_iter();
-        reasons.find(|reason| reason.word() == word)
+        reasons.find(|reason| reason.as_str() == word)
     }
 }
 
@@ -93,7 +93,7 @@
     /// Returns code 2402 with the text at fault.
     pub fn parse(text: &str) -> Result<BackendValue> {
         if let Some(word) = text.strip_prefix(UNUSABLE_PREFIX) {
-            let reason = UnusableReason::of(word);
+            let reason = UnusableReason::from_word(word);
             let malformed = || Error::new(Code::BackendSyntax, format!("{text:?}"));
             return reason.map(BackendValue::Unusable).ok_or_else(malformed);
         }
@@ -147,16 +147,16 @@
             state,
             cold_ms,
             started_unix_ms,
-        } = BackendFields::of(text).ok_or_else(malformed)?;
+        } = BackendFields::parse(text).ok_or_else(malformed)?;
         let started_unix_ms = started_unix_ms.map(str::parse).transpose();
         let cold_ms: u32 = cold_ms.unwrap_or("0").parse().map_err(|_| malformed())?;
-        let state = BackendState::of(state).ok_or_else(malformed)?;
-        if !table::is_name(zone) {
+        let state = BackendState::from_word(state).ok_or_else(malformed)?;
+        if !table::is_valid_name(zone) {
             return Err(malformed());
         }
         let slots = slots.parse().ok().filter(|slots| *slots > 0);
         Ok(Some(Backend {
-            service: ServiceId::of(service),
+            service: ServiceId::from_name(service),
             address: address.parse().map_err(|_| malformed())?,
             zone: zone.to_owned(),
             slots: slots.ok_or_else(malformed)?,
@@ -182,7 +182,7 @@
 
 impl<'a> BackendFields<'a> {
     /// Takes a text apart; `None` where it has too few or too many fields.
-    pub(crate) fn of(text: &'a str) -> Option<Self> {
+    pub(crate) fn parse(text: &'a str) -> Option<Self> {
         let fields: Vec<&str> = text.split(',').collect();
         let (&[service, address, zone, slots, state], rest) = fields.split_first_chunk()?;
         let (cold_ms, rest) = match rest {
@@ -220,7 +220,7 @@
     slots: u64,
     state: BackendState,
 ) -> String {
-    let state = state.word();
+    let state = state.as_str();
     format!("{service},{address},{zone},{slots},{state}")
 }
 
@@ -239,7 +239,7 @@
 /// Tells whether one published text says of a backend server what was so before the other.
 ///
 /// Who has announced to leave does not return within its lifetime, and a lifetime does not come back.
-pub(crate) fn goes_back(from: &str, to: &str) -> bool {
+pub(crate) fn is_regression(from: &str, to: &str) -> bool {
     let (Ok(Some(from)), Ok(Some(to))) = (Backend::parse(from), Backend::parse(to)) else {
         return false;
     };
@@ -251,5 +251,5 @@
 
 /// Returns the published text of an entry that names no backend server to use.
 pub fn unusable_text(reason: UnusableReason) -> String {
-    format!("{UNUSABLE_PREFIX}{}", reason.word())
+    format!("{UNUSABLE_PREFIX}{}", reason.as_str())
 }
--- a/src/config/cold_starts.rs
+++ b/src/config/cold_starts.rs
@@ -30,7 +30,7 @@
 /// # Errors
 ///
 /// Returns code 2404 with the line at fault.
-pub fn cold_starts(text: &str) -> Result<Vec<ColdStart>> {
+pub fn parse_cold_starts(text: &str) -> Result<Vec<ColdStart>> {
     let mut starts = Vec::new();
     for line in text.lines() {
         let malformed = || Error::new(Code::ColdStartSyntax, format!("{line:?}"));
@@ -44,7 +44,7 @@
     let mut fields = line.rsplitn(3, ',');
     let flows_per_s: f64 = fields.next()?.parse().ok()?;
     let cold_ms = fields.next()?.parse().ok()?;
-    let service = ServiceId::of(fields.next()?);
+    let service = ServiceId::from_name(fields.next()?);
     let is_rate = flows_per_s.is_finite() && flows_per_s > 0.0;
     is_rate.then_some(ColdStart {
         service,
--- a/src/config/config_store.rs
+++ b/src/config/config_store.rs
@@ -11,8 +11,8 @@
 use crate::config::revision::Revision;
 use crate::config::route_table::{ROUTES_NAME, RouteTable};
 use crate::config::service_id::ServiceId;
-use crate::config::stamp::Stamp;
 use crate::config::table::Table;
+use crate::config::version_stamp::VersionStamp;
 use crate::error::{Error, Result};
 
 /// The largest value that the platform holds, in bytes.
@@ -56,7 +56,7 @@
     /// The value's name.
     pub name: String,
     /// Which state it brings.
-    pub stamp: Stamp,
+    pub stamp: VersionStamp,
     /// The revision against which the delta was made; 0 where it makes the whole text of nothing.
     pub base: Revision,
     /// The change.
@@ -74,11 +74,11 @@
 
 /// What became of an offered value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Acceptance {
+pub enum AcceptOutcome {
     /// It is in force now.
     Accepted,
     /// An equal or newer state is in force; nothing changed.
-    Old,
+    Stale,
 }
 
 /// All published values with their parsed forms.
@@ -91,7 +91,7 @@
     values: Vec<StoredValue>,
     tables: Vec<(ServiceId, Table)>,
     hosts: HostList,
-    ring: KeyRing,
+    key_ring: KeyRing,
     digest: Digest,
     /// The latest era that has settled: of later ones the platform may still show states from before it came back.
     settled_era: u64,
@@ -112,7 +112,7 @@
             values: Vec::new(),
             tables: Vec::new(),
             hosts: HostList::default(),
-            ring: KeyRing::initial(cluster),
+            key_ring: KeyRing::initial(cluster),
             digest: Digest::default(),
             settled_era: 0,
         }
@@ -126,23 +126,23 @@
     pub fn accept(
         &mut self,
         name: &str,
-        stamp: impl Into<Stamp>,
+        stamp: impl Into<VersionStamp>,
         text: &str,
-    ) -> Result<Acceptance> {
+    ) -> Result<AcceptOutcome> {
         let stamp = stamp.into();
         let index = self.index_or_insert(name);
-        if !self.values[index].is_news(stamp) {
-            return Ok(Acceptance::Old);
+        if !self.values[index].is_new_state(stamp) {
+            return Ok(AcceptOutcome::Stale);
         }
-        let is_settled = self.is_settled(stamp.revision.era());
-        if !is_settled && self.values[index].is_older_entry(stamp, text) {
-            return Ok(Acceptance::Old);
+        let is_settled = self.is_era_settled(stamp.revision.era());
+        if !is_settled && self.values[index].is_entry_regression(stamp, text) {
+            return Ok(AcceptOutcome::Stale);
         }
         match self.parse(name, text) {
             Ok(parsed) => {
                 self.put(index, stamp, text);
                 self.apply(parsed);
-                Ok(Acceptance::Accepted)
+                Ok(AcceptOutcome::Accepted)
             }
             Err(error) => {
                 self.values[index].rejected = Some(Rejection {
@@ -159,10 +159,10 @@
     /// # Errors
     ///
     /// Returns code 2302 where the change does not fit, else as [`ConfigStore::accept`].
-    pub fn accept_update(&mut self, update: &ValueUpdate) -> Result<Acceptance> {
+    pub fn accept_update(&mut self, update: &ValueUpdate) -> Result<AcceptOutcome> {
         let held = self.get(&update.name);
-        if held.is_some_and(|value| !value.is_news(update.stamp)) {
-            return Ok(Acceptance::Old);
+        if held.is_some_and(|value| !value.is_new_state(update.stamp)) {
+            return Ok(AcceptOutcome::Stale);
         }
         let held_revision = held.map_or(Revision::ZERO, |value| value.revision);
         let text = match update.base {
@@ -195,7 +195,7 @@
     }
 
     /// Returns the names of values in force above `floor`, and their states.
-    pub fn changes_since(&self, floor: Revision) -> Vec<(&str, Stamp)> {
+    pub fn changes_since(&self, floor: Revision) -> Vec<(&str, VersionStamp)> {
         let newer = self.values.iter().filter(|value| value.revision > floor);
         newer
             .map(|value| (value.name.as_str(), value.stamp()))
@@ -203,9 +203,9 @@
     }
 
     /// Tells whether a state would be news: neither in force, nor older, nor rejected before.
-    pub fn wants(&self, name: &str, stamp: impl Into<Stamp>) -> bool {
+    pub fn is_new_state(&self, name: &str, stamp: impl Into<VersionStamp>) -> bool {
         let stamp = stamp.into();
-        self.get(name).is_none_or(|value| value.is_news(stamp))
+        self.get(name).is_none_or(|value| value.is_new_state(stamp))
     }
 
     /// Returns the revision of a value in force, or 0.
@@ -249,8 +249,8 @@
     }
 
     /// Returns the keys that seal and open tokens.
-    pub fn ring(&self) -> &KeyRing {
-        &self.ring
+    pub fn key_ring(&self) -> &KeyRing {
+        &self.key_ring
     }
 
     /// Returns the revisions in short.
@@ -259,12 +259,12 @@
     }
 
     /// Tells whether what the platform shows in an era was written, or left as it is, since that era began.
-    pub fn is_settled(&self, era: u64) -> bool {
+    pub fn is_era_settled(&self, era: u64) -> bool {
         era <= self.settled_era
     }
 
     /// Notes that an era has settled.
-    pub fn settle(&mut self, era: u64) {
+    pub fn mark_era_settled(&mut self, era: u64) {
         self.settled_era = self.settled_era.max(era);
     }
 
@@ -290,11 +290,11 @@
                 Ok(Parsed::Other)
             }
             COLD_STARTS_NAME => {
-                cold_starts::cold_starts(text)?;
+                cold_starts::parse_cold_starts(text)?;
                 Ok(Parsed::Other)
             }
             DEADLINES_NAME => {
-                deadlines::deadlines(text)?;
+                deadlines::parse_deadlines(text)?;
                 Ok(Parsed::Other)
             }
             HOSTS_NAME => Ok(Parsed::Hosts(HostList::parse(text)?)),
@@ -313,8 +313,8 @@
         })
     }
 
-    fn put(&mut self, index: usize, stamp: Stamp, text: &str) {
-        let Stamp { revision, version } = stamp;
+    fn put(&mut self, index: usize, stamp: VersionStamp, text: &str) {
+        let VersionStamp { revision, version } = stamp;
         let value = &mut self.values[index];
         let name_hash = hash::name_hash(&value.name);
         if value.revision > Revision::ZERO {
@@ -333,7 +333,7 @@
         match parsed {
             Parsed::Table(table) => self.put_table(table),
             Parsed::Hosts(hosts) => self.hosts = hosts,
-            Parsed::Keys(ring) => self.ring = ring,
+            Parsed::Keys(ring) => self.key_ring = ring,
             Parsed::Other => {}
         }
     }
@@ -363,7 +363,7 @@
     /// Tells whether a text is that of an entry from before the platform came back, of which newer things are known.
     ///
     /// A backend server that has announced to leave would get new flows again by it.
-    fn is_older_entry(&self, stamp: Stamp, text: &str) -> bool {
+    fn is_entry_regression(&self, stamp: VersionStamp, text: &str) -> bool {
         let last = if self.text == GONE_TEXT {
             &self.previous_text
         } else {
@@ -371,12 +371,12 @@
         };
         let is_entry = self.name.starts_with(BACKEND_PREFIX);
         let is_across_eras = stamp.revision.era() > self.revision.era();
-        is_entry && is_across_eras && backend_entry::goes_back(last, text)
+        is_entry && is_across_eras && backend_entry::is_regression(last, text)
     }
 
     /// Returns where the state in force stands.
-    pub fn stamp(&self) -> Stamp {
-        Stamp {
+    pub fn stamp(&self) -> VersionStamp {
+        VersionStamp {
             revision: self.revision,
             version: self.version,
         }
@@ -391,8 +391,8 @@
     ///
     /// One below a rejected revision is news all the same: where the rejected one came first, the
     /// sound one before it is what the other hosts have in force.
-    fn is_news(&self, stamp: Stamp) -> bool {
+    fn is_new_state(&self, stamp: VersionStamp) -> bool {
         let rejected = self.rejected.as_ref().map(|rejection| rejection.revision);
-        stamp.is_after(self.stamp()) && rejected != Some(stamp.revision)
+        stamp.supersedes(self.stamp()) && rejected != Some(stamp.revision)
     }
 }
--- a/src/config/deadlines.rs
+++ b/src/config/deadlines.rs
@@ -30,7 +30,7 @@
     ///
     /// Such an opener can't be left to its caller's copies and retries: it has to find room, wait for it, or be
     /// refused while there is time. See docs/design/waiting-openers.md.
-    pub fn allows_one_attempt(&self) -> bool {
+    pub fn allows_only_one_attempt(&self) -> bool {
         self.timeout_ms < UNANSWERED_ATTEMPT_MS.saturating_add(self.objective_ms)
     }
 }
@@ -39,7 +39,7 @@
 ///
 /// Flows to other addresses are placed without them, so that these need not travel.
 pub fn deadlines_text(deadlines: impl Iterator<Item = Deadline>) -> String {
-    let told = deadlines.filter(Deadline::allows_one_attempt);
+    let told = deadlines.filter(Deadline::allows_only_one_attempt);
     let lines = told.map(|deadline| {
         let Deadline {
             address,
@@ -56,7 +56,7 @@
 /// # Errors
 ///
 /// Returns code 2405 with the line at fault.
-pub fn deadlines(text: &str) -> Result<Vec<Deadline>> {
+pub fn parse_deadlines(text: &str) -> Result<Vec<Deadline>> {
     let mut deadlines = Vec::new();
     for line in text.lines() {
         let malformed = || Error::new(Code::DeadlineSyntax, format!("{line:?}"));
--- a/src/config/evacuation.rs
+++ b/src/config/evacuation.rs
@@ -21,7 +21,7 @@
 
 impl<'a> Evacuation<'a> {
     /// Reads a published value; `None` where its name is that of another kind of value.
-    pub(crate) fn of(name: &'a str, text: &str) -> Option<Self> {
+    pub(crate) fn parse(name: &'a str, text: &str) -> Option<Self> {
         let zone = name.strip_prefix(EVACUATED_PREFIX)?;
         Some(Self {
             zone,
--- a/src/config/hosts.rs
+++ b/src/config/hosts.rs
@@ -74,7 +74,7 @@
     }
 
     /// Makes a list of hosts that were learnt one by one; of one address, the first is kept.
-    pub(crate) fn of(mut hosts: Vec<Host>) -> HostList {
+    pub(crate) fn from_hosts(mut hosts: Vec<Host>) -> HostList {
         hosts.sort_by_key(|host| host.address);
         hosts.dedup_by_key(|host| host.address);
         HostList { hosts }
@@ -94,7 +94,7 @@
     }
 
     /// Returns the hosts in this role, leaving ones too, since they still run.
-    pub fn in_role(&self, role: HostRole) -> impl Iterator<Item = &Host> {
+    pub fn with_role(&self, role: HostRole) -> impl Iterator<Item = &Host> {
         self.hosts.iter().filter(move |host| host.role == role)
     }
 }
@@ -118,7 +118,7 @@
         "leaving" => HostState::Leaving,
         _ => return Err(syntax(index, line)),
     };
-    if !table::is_name(zone) {
+    if !table::is_valid_name(zone) {
         return Err(syntax(index, line));
     }
     Ok(Host {
--- a/src/config/membership.rs
+++ b/src/config/membership.rs
@@ -11,7 +11,7 @@
 /// How many processes of an availability zone watch the platform.
 pub const READERS_PER_ZONE: usize = 3;
 /// To how many peers a process tells a change, and with how many it compares revisions.
-pub const PEER_LINKS: usize = 6;
+pub const PEERS_PER_PROCESS: usize = 6;
 /// How many of them are of its own availability zone, so that a cut between zones or regions leaves
 /// no process without a peer that some reader of its zone reaches.
 const NEAR_LINKS: usize = 3;
@@ -31,7 +31,11 @@
 }
 
 /// Returns the readers of a zone among the hosts that `trusted` lets pass.
-pub fn readers(hosts: &HostList, zone: &str, trusted: impl Fn(Ipv4Addr) -> bool) -> Vec<Ipv4Addr> {
+pub fn select_readers(
+    hosts: &HostList,
+    zone: &str,
+    trusted: impl Fn(Ipv4Addr) -> bool,
+) -> Vec<Ipv4Addr> {
     let of_zone = hosts.all().iter().filter(|host| host.zone == zone);
     let eligible = of_zone.filter(|host| trusted(host.address));
     ranked(eligible, READER_SALT, READERS_PER_ZONE)
@@ -41,13 +45,21 @@
 ///
 /// The choice is stable while the list is, so that links stay open; together the links of all
 /// processes form a random graph, which stays connected when many hosts are gone.
-pub fn links(hosts: &HostList, me: Ipv4Addr, trusted: impl Fn(Ipv4Addr) -> bool) -> Vec<Ipv4Addr> {
+pub fn select_peers(
+    hosts: &HostList,
+    me: Ipv4Addr,
+    trusted: impl Fn(Ipv4Addr) -> bool,
+) -> Vec<Ipv4Addr> {
     let others = || hosts.all().iter().filter(|host| host.address != me);
     let eligible = || others().filter(|host| trusted(host.address));
     let zone = hosts.get(me).map(|host| host.zone.as_str());
     let near = eligible().filter(|host| Some(host.zone.as_str()) == zone);
     let mut links = ranked(near, hash::host_hash(me), NEAR_LINKS);
     let far = eligible().filter(|host| !links.contains(&host.address));
-    links.extend(ranked(far, hash::host_hash(me), PEER_LINKS - links.len()));
+    links.extend(ranked(
+        far,
+        hash::host_hash(me),
+        PEERS_PER_PROCESS - links.len(),
+    ));
     links
 }
--- a/src/config/revision.rs
+++ b/src/config/revision.rs
@@ -40,7 +40,7 @@
     }
 
     /// Returns the revision this many changes before, or the first of the era.
-    pub(crate) fn back(self, changes: u64) -> Self {
+    pub(crate) fn saturating_sub(self, changes: u64) -> Self {
         Self(self.0 - self.number().min(changes))
     }
 
--- a/src/config/route_diff.rs
+++ b/src/config/route_diff.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddrV4;
 
-use crate::config::route_table::{Route, RouteTable, route_rows};
+use crate::config::route_table::{Route, RouteTable, parse_route_rows};
 use crate::config::service_id::ServiceId;
 use crate::error::Result;
 
@@ -25,10 +25,10 @@
 ///
 /// Returns code 2401 with the line at fault.
 pub fn route_changes(old: &str, new: &str) -> Result<Vec<RouteChange>> {
-    let old = route_rows(old)?;
-    let before = RouteTable::of(&old)?;
-    let new = route_rows(new)?;
-    let after = RouteTable::of(&new)?;
+    let old = parse_route_rows(old)?;
+    let before = RouteTable::from_rows(&old)?;
+    let new = parse_route_rows(new)?;
+    let after = RouteTable::from_rows(&new)?;
     let rows = old.iter().chain(&new);
     let mut parts: Vec<_> = rows.map(|row| (row.address, row.service)).collect();
     parts.sort_unstable();
@@ -45,7 +45,7 @@
     service: &str,
     (before, after): (Option<&Route>, Option<&Route>),
 ) -> Option<RouteChange> {
-    let id = ServiceId::of(service);
+    let id = ServiceId::from_name(service);
     let share = |route: Option<&Route>| route.map_or(0.0, |route| route.share(id));
     let share = (share(before), share(after));
     let effect = effect(before, after, share)?;
--- a/src/config/route_table.rs
+++ b/src/config/route_table.rs
@@ -42,7 +42,7 @@
     ///
     /// Every process that holds the same table draws the same one, so that the copies of an opener
     /// reach one service.
-    pub fn service(&self, flow_hash: u64) -> Option<ServiceId> {
+    pub fn select_service(&self, flow_hash: u64) -> Option<ServiceId> {
         let total: u64 = self
             .shares
             .iter()
@@ -92,7 +92,7 @@
     ///
     /// Returns code 2401 with the line at fault.
     pub fn parse(text: &str) -> Result<RouteTable> {
-        RouteTable::of(&route_rows(text)?)
+        RouteTable::from_rows(&parse_route_rows(text)?)
     }
 
     /// Gathers rows by their addresses.
@@ -100,11 +100,11 @@
     /// # Errors
     ///
     /// Returns code 2401 where the rows of an address do not stand together.
-    pub(crate) fn of(rows: &[RouteRow<'_>]) -> Result<RouteTable> {
+    pub(crate) fn from_rows(rows: &[RouteRow<'_>]) -> Result<RouteTable> {
         let mut routes: Vec<Route> = Vec::new();
         for row in rows {
             let share = RouteShare {
-                service: ServiceId::of(row.service),
+                service: ServiceId::from_name(row.service),
                 weight: row.weight,
             };
             match routes.last_mut() {
@@ -175,7 +175,7 @@
 /// # Errors
 ///
 /// Returns code 2401 with the line at fault.
-pub(crate) fn route_rows(text: &str) -> Result<Vec<RouteRow<'_>>> {
+pub(crate) fn parse_route_rows(text: &str) -> Result<Vec<RouteRow<'_>>> {
     let mut lines = text.lines().enumerate();
     match lines.next() {
         Some((_, ROUTES_HEADER)) => {}
--- a/src/config/sealed_id.rs
+++ b/src/config/sealed_id.rs
@@ -22,7 +22,7 @@
 
 /// What the id is for; each purpose has its own key, so that one never passes as the other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Purpose {
+pub enum SealedIdKind {
     /// A routing token in a connection id.
     Token,
     /// A ticket for a request that may not be repeated.
@@ -44,7 +44,7 @@
 
 impl SealedId {
     /// Seals the fields; `clear` are three more bytes that keep connection ids distinct.
-    pub fn seal(&self, ring: &KeyRing, purpose: Purpose, clear: [u8; 3]) -> SealedBytes {
+    pub fn seal(&self, ring: &KeyRing, purpose: SealedIdKind, clear: [u8; 3]) -> SealedBytes {
         let keys = ring.sealing();
         let mut bytes = [0; SEALED_ID_BYTES];
         bytes[0] = keys.epoch;
@@ -62,7 +62,7 @@
     /// Opens an id, or returns `None` where it is not one that was sealed for `service`.
     pub fn open(
         ring: &KeyRing,
-        purpose: Purpose,
+        purpose: SealedIdKind,
         service: ServiceId,
         bytes: &[u8],
     ) -> Option<SealedId> {
@@ -86,9 +86,9 @@
     }
 }
 
-fn cipher(keys: &crate::config::keys::EpochKeys, purpose: Purpose) -> &Aes128 {
+fn cipher(keys: &crate::config::keys::EpochKeys, purpose: SealedIdKind) -> &Aes128 {
     match purpose {
-        Purpose::Token => &keys.token,
-        Purpose::Ticket => &keys.ticket,
+        SealedIdKind::Token => &keys.token,
+        SealedIdKind::Ticket => &keys.ticket,
     }
 }
--- a/src/config/service_id.rs
+++ b/src/config/service_id.rs
@@ -14,7 +14,7 @@
 
 impl ServiceId {
     /// Returns the id of the service with this name.
-    pub fn of(name: &str) -> Self {
+    pub fn from_name(name: &str) -> Self {
         Self(hash::name_hash(name) as u32)
     }
 }
--- a/src/config/service_names.rs
+++ b/src/config/service_names.rs
@@ -14,6 +14,6 @@
 }
 
 /// Returns the services of a published text.
-pub fn service_names(text: &str) -> Vec<ServiceId> {
-    text.lines().map(ServiceId::of).collect()
+pub fn parse_services(text: &str) -> Vec<ServiceId> {
+    text.lines().map(ServiceId::from_name).collect()
 }
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -269,7 +269,7 @@
 
     fn zone(&self) -> Result<String> {
         let zone: String = self.required("process", "zone", "a name")?;
-        if table::is_name(&zone) {
+        if table::is_valid_name(&zone) {
             Ok(zone)
         } else {
             Err(self.invalid("process", "zone", "1 to 40 of a-z, 0-9 and -"))
--- a/src/config/table.rs
+++ b/src/config/table.rs
@@ -23,7 +23,7 @@
 
 /// One row: where a share of the service's traffic goes and how far it may be loaded.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
-pub struct Row {
+pub struct TableRow {
     /// The target's name, unique in the service.
     pub target: String,
     /// The host on which the target's agent and backend server run.
@@ -49,7 +49,7 @@
     /// The address to which callers send.
     pub address: SocketAddr,
     /// The rows in order of their target's name.
-    pub rows: Vec<Row>,
+    pub rows: Vec<TableRow>,
 }
 
 impl Table {
@@ -80,16 +80,16 @@
 
     /// Returns the id of the service.
     pub fn service_id(&self) -> ServiceId {
-        ServiceId::of(&self.service)
+        ServiceId::from_name(&self.service)
     }
 
     /// Returns the row of the target on `host`.
-    pub fn row_on(&self, host: Ipv4Addr) -> Option<&Row> {
+    pub fn row_on(&self, host: Ipv4Addr) -> Option<&TableRow> {
         self.rows.iter().find(|row| row.host == host)
     }
 
     /// Returns the row of the target with this name.
-    pub fn row(&self, target: &str) -> Option<&Row> {
+    pub fn row(&self, target: &str) -> Option<&TableRow> {
         let index = self
             .rows
             .binary_search_by(|row| row.target.as_str().cmp(target));
@@ -102,7 +102,7 @@
     }
 
     /// Returns the part of the service's load that the table gives to `row`, from 0 to 1.
-    pub fn share(&self, row: &Row) -> f64 {
+    pub fn share(&self, row: &TableRow) -> f64 {
         f64::from(row.weight) / self.total_weight().max(1) as f64
     }
 }
@@ -157,7 +157,7 @@
 
     fn name(&self, column: usize, title: &str) -> Result<String> {
         let name = self.field(column);
-        if !is_name(name) {
+        if !is_valid_name(name) {
             return Err(self.error(Code::TableName, title, &format!("{name:?}")));
         }
         Ok(name.to_owned())
@@ -183,7 +183,7 @@
 }
 
 /// Tells whether `name` may name a service, target or zone.
-pub(crate) fn is_name(name: &str) -> bool {
+pub(crate) fn is_valid_name(name: &str) -> bool {
     let fits = (1..=MAX_NAME_BYTES).contains(&name.len());
     let allowed = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-';
     fits && name.bytes().all(allowed)
@@ -206,7 +206,7 @@
     let service = view.name(0, "service")?;
     let address: SocketAddr = view.parsed(1, "address")?;
     let target = view.name(2, "target")?;
-    let row = Row {
+    let row = TableRow {
         target_hash: hash::name_hash(&target),
         target,
         host: view.parsed(3, "host")?,
--- a/src/config/table_diff.rs
+++ b/src/config/table_diff.rs
@@ -1,6 +1,6 @@
 //! What an edit of a table will do: to shares, limits and open flows.
 
-use crate::config::table::{Row, Table};
+use crate::config::table::{Table, TableRow};
 
 /// What an edit does to one target.
 #[derive(Debug, Clone, PartialEq)]
@@ -56,13 +56,14 @@
 /// Compares a row in both versions, each with the total weight of its table.
 fn row_change(
     name: &str,
-    before: Option<(f64, &Row)>,
-    after: Option<(f64, &Row)>,
+    before: Option<(f64, &TableRow)>,
+    after: Option<(f64, &TableRow)>,
 ) -> Option<RowChange> {
-    let share =
-        |side: Option<(f64, &Row)>| side.map_or(0.0, |(total, row)| f64::from(row.weight) / total);
-    let slots = |side: Option<(f64, &Row)>| side.map_or(0, |(_, row)| row.slots);
-    let connections = |side: Option<(f64, &Row)>| side.map_or(0, |(_, row)| row.connections);
+    let share = |side: Option<(f64, &TableRow)>| {
+        side.map_or(0.0, |(total, row)| f64::from(row.weight) / total)
+    };
+    let slots = |side: Option<(f64, &TableRow)>| side.map_or(0, |(_, row)| row.slots);
+    let connections = |side: Option<(f64, &TableRow)>| side.map_or(0, |(_, row)| row.connections);
     let change = RowChange {
         target: name.to_owned(),
         share: (share(before), share(after)),
@@ -79,7 +80,7 @@
 
 const KEEP: &str = "open flows stay; new ones follow the new share";
 
-fn effect(before: Option<&Row>, after: Option<&Row>) -> &'static str {
+fn effect(before: Option<&TableRow>, after: Option<&TableRow>) -> &'static str {
     match (before, after) {
         (None, _) => "starts cold and takes new flows only",
         (Some(_), None) => {
--- a/src/controllers/control.rs
+++ b/src/controllers/control_plane.rs
@@ -6,16 +6,18 @@
 
 use serde_json::{Value, json};
 
-use crate::config::config_store::{Acceptance, ConfigStore, HOSTS_NAME, StoredValue, ValueUpdate};
+use crate::config::config_store::{
+    AcceptOutcome, ConfigStore, HOSTS_NAME, StoredValue, ValueUpdate,
+};
 use crate::config::hosts::HostRole;
+use crate::config::incoming_value::IncomingValue;
 use crate::config::revision::Revision;
 use crate::config::route_table::ROUTES_NAME;
 use crate::config::settings::Settings;
-use crate::config::stamp::Stamp;
-use crate::config::value_state::ValueState;
+use crate::config::version_stamp::VersionStamp;
 use crate::decisions::suspicion::Suspicion;
 use crate::error::Result;
-use crate::links::peers::Peers;
+use crate::links::peer_client::PeerClient;
 use crate::process::clock::{self, Clock};
 use crate::process::metrics::Metrics;
 use crate::process::timers::Timers;
@@ -31,31 +33,31 @@
 type ChangeAction = Rc<dyn Fn(&[&str])>;
 
 /// The parts of a process on which its controllers and filters build.
-pub(crate) struct Control {
+pub(crate) struct ControlPlane {
     pub(crate) settings: Settings,
     pub(crate) clock: Clock,
     pub(crate) incarnation: u32,
     pub(crate) metrics: Rc<Metrics>,
     pub(crate) timers: Timers,
-    pub(crate) peers: Peers,
+    pub(crate) peers: PeerClient,
     pub(crate) store: RefCell<ConfigStore>,
     pub(crate) suspicion: RefCell<Suspicion>,
     pub(crate) platform_answers: Cell<bool>,
     /// Whether changes are told along links; without it peers ask, and are told that there is one.
-    pub(crate) tells_peers: Cell<bool>,
+    pub(crate) pushes_changes: Cell<bool>,
     linking: RefCell<Vec<Ipv4Addr>>,
     entry_hosts: RefCell<Rc<[Ipv4Addr]>>,
     on_change: RefCell<Vec<ChangeAction>>,
 }
 
-impl Control {
+impl ControlPlane {
     pub(crate) fn new(settings: Settings, metrics: Rc<Metrics>) -> Rc<Self> {
         let clock = Clock::start();
         Rc::new(Self {
             clock,
             incarnation: clock::incarnation(),
             timers: Timers::new(clock),
-            peers: Peers::new(
+            peers: PeerClient::new(
                 settings.host,
                 &settings.cluster_key,
                 settings.control_port,
@@ -64,7 +66,7 @@
             store: RefCell::new(ConfigStore::new(&settings.cluster_key)),
             suspicion: RefCell::default(),
             platform_answers: Cell::new(false),
-            tells_peers: Cell::new(true),
+            pushes_changes: Cell::new(true),
             linking: RefCell::default(),
             entry_hosts: RefCell::new(Rc::default()),
             on_change: RefCell::default(),
@@ -86,9 +88,9 @@
     pub(crate) fn accept(
         &self,
         name: &str,
-        stamp: impl Into<Stamp>,
+        stamp: impl Into<VersionStamp>,
         text: &str,
-    ) -> Result<Acceptance> {
+    ) -> Result<AcceptOutcome> {
         let stamp = stamp.into();
         let result = self.store.borrow_mut().accept(name, stamp, text);
         if self.judge(name, stamp.revision, &result) {
@@ -98,15 +100,15 @@
     }
 
     /// Takes values that the platform published together; a rejected one is counted and logged.
-    pub(crate) fn accept_all(&self, values: &[ValueState<'_>]) {
-        self.conclude(values.iter().map(|&ValueState { name, stamp, text }| {
+    pub(crate) fn accept_all(&self, values: &[IncomingValue<'_>]) {
+        self.conclude(values.iter().map(|&IncomingValue { name, stamp, text }| {
             let result = self.store.borrow_mut().accept(name, stamp, text);
             (name, stamp, result)
         }));
     }
 
     /// Takes a value that a peer sent.
-    pub(crate) fn accept_update(&self, update: &ValueUpdate) -> Result<Acceptance> {
+    pub(crate) fn accept_update(&self, update: &ValueUpdate) -> Result<AcceptOutcome> {
         let result = self.store.borrow_mut().accept_update(update);
         if self.judge(&update.name, update.stamp.revision, &result) {
             self.in_force(&[(&update.name, update.stamp)]);
@@ -125,11 +127,12 @@
     /// Judges what became of values that came together, tells of those in force, and returns their names.
     fn conclude<'a>(
         &self,
-        results: impl Iterator<Item = (&'a str, Stamp, Result<Acceptance>)>,
+        results: impl Iterator<Item = (&'a str, VersionStamp, Result<AcceptOutcome>)>,
     ) -> Vec<&'a str> {
         let judged =
             results.filter(|(name, stamp, result)| self.judge(name, stamp.revision, result));
-        let accepted: Vec<(&str, Stamp)> = judged.map(|(name, stamp, _)| (name, stamp)).collect();
+        let accepted: Vec<(&str, VersionStamp)> =
+            judged.map(|(name, stamp, _)| (name, stamp)).collect();
         self.in_force(&accepted);
         accepted.into_iter().map(|(name, _)| name).collect()
     }
@@ -138,7 +141,7 @@
     ///
     /// A process that starts while the platform is silent has no host list; those that link to it
     /// are then the peers that it can ask.
-    pub(crate) fn linked_by(&self, host: Ipv4Addr) {
+    pub(crate) fn record_inbound_link(&self, host: Ipv4Addr) {
         self.suspicion.borrow_mut().answered(host);
         let mut linking = self.linking.borrow_mut();
         if linking.len() < MAX_LINKING_HOSTS
@@ -149,15 +152,15 @@
     }
 
     /// Returns the hosts that made control links to this process.
-    pub(crate) fn linking_hosts(&self) -> Vec<Ipv4Addr> {
+    pub(crate) fn inbound_link_hosts(&self) -> Vec<Ipv4Addr> {
         self.linking.borrow().clone()
     }
 
     /// Counts what became of a value; tells whether it came into force.
-    fn judge(&self, name: &str, revision: Revision, result: &Result<Acceptance>) -> bool {
+    fn judge(&self, name: &str, revision: Revision, result: &Result<AcceptOutcome>) -> bool {
         match result {
-            Ok(Acceptance::Old) => false,
-            Ok(Acceptance::Accepted) => {
+            Ok(AcceptOutcome::Stale) => false,
+            Ok(AcceptOutcome::Accepted) => {
                 self.metrics.values_accepted.inc();
                 true
             }
@@ -171,7 +174,7 @@
     }
 
     /// Tells of values that came into force together, each with its revision.
-    fn in_force(&self, values: &[(&str, Stamp)]) {
+    fn in_force(&self, values: &[(&str, VersionStamp)]) {
         if values.is_empty() {
             return;
         }
@@ -182,7 +185,7 @@
             let count = values.len();
             log::info!("event=values_in_force count={count} revision={highest}");
         } else {
-            for (name, Stamp { revision, version }) in values {
+            for (name, VersionStamp { revision, version }) in values {
                 log::info!(
                     "event=value_in_force name={name} revision={revision} version={version}"
                 );
@@ -208,7 +211,7 @@
     /// Keeps the entry hosts at hand, since each answer asks for them.
     fn keep_entry_hosts(&self) {
         let store = self.store.borrow();
-        let entries = store.hosts().in_role(HostRole::Entry);
+        let entries = store.hosts().with_role(HostRole::Entry);
         *self.entry_hosts.borrow_mut() = entries.map(|host| host.address).collect();
     }
 
@@ -241,7 +244,7 @@
             "values": values.collect::<Vec<_>>(),
             "tables": tables,
             "hosts": store.hosts(),
-            "links": self.peers.linked(),
+            "links": self.peers.linked_hosts(),
             "suspected": self.suspicion.borrow().suspected(now_ms),
         })
     }
--- a/src/controllers/mod.rs
+++ b/src/controllers/mod.rs
@@ -4,7 +4,7 @@
 //! The rule that lives here: a change is in force everywhere within seconds, also while the platform or
 //! some processes are away, and nobody is elected for it. It uses all folders below, and no form of flows.
 
-pub(crate) mod control;
+pub(crate) mod control_plane;
 pub(crate) mod node_server;
 pub(crate) mod platform_reader;
 pub(crate) mod relay;
--- a/src/controllers/node_server.rs
+++ b/src/controllers/node_server.rs
@@ -8,18 +8,18 @@
 use serde_json::Value;
 
 use crate::code::Code;
-use crate::config::config_store::Acceptance;
+use crate::config::config_store::AcceptOutcome;
 use crate::config::sealed_id::SealedBytes;
 use crate::config::service_id::ServiceId;
-use crate::controllers::control::Control;
+use crate::controllers::control_plane::ControlPlane;
 use crate::controllers::relay;
 use crate::decisions::load_board::LoadReport;
 use crate::error::Result;
 use crate::links::link;
 use crate::links::link_auth::{self, LinkSide};
 use crate::links::node_codec::{self, to_capnp};
+use crate::links::peer_client::{OfferReply, ticket_bytes};
 use crate::links::peer_request::{PeerAnswer, PeerRequest};
-use crate::links::peers::{OfferReply, ticket_bytes};
 use crate::node_capnp::node;
 
 /// The most control links that a process accepts at once.
@@ -43,12 +43,12 @@
 }
 
 struct NodeServer {
-    control: Rc<Control>,
+    control: Rc<ControlPlane>,
     hooks: Rc<NodeHooks>,
 }
 
 /// Accepts control links forever.
-pub(crate) async fn serve(listener: TcpListener, control: Rc<Control>, hooks: NodeHooks) {
+pub(crate) async fn serve(listener: TcpListener, control: Rc<ControlPlane>, hooks: NodeHooks) {
     let hooks = Rc::new(hooks);
     let open = Rc::new(());
     loop {
@@ -76,7 +76,7 @@
 async fn serve_link(
     mut stream: TcpStream,
     peer: SocketAddr,
-    control: &Rc<Control>,
+    control: &Rc<ControlPlane>,
     server: NodeServer,
 ) {
     // Without it calls would only be slower.
@@ -87,13 +87,13 @@
         return;
     }
     if let IpAddr::V4(host) = peer.ip() {
-        control.linked_by(host);
+        control.record_inbound_link(host);
     }
     let client: node::Client = capnp_rpc::new_client(server);
     link::serve(stream, &control.metrics, client).await;
 }
 
-fn refused(control: &Control, peer: SocketAddr, error: &crate::error::Error) {
+fn refused(control: &ControlPlane, peer: SocketAddr, error: &crate::error::Error) {
     control.metrics.links_refused.inc(error.code);
     if error.code == Code::LinkRefused {
         log::warn!("event=link_refused peer={peer} error={error}");
@@ -158,12 +158,12 @@
         let value = params.get()?.get_value()?;
         let update = node_codec::read_value(value).map_err(to_capnp)?;
         let result = self.control.accept_update(&update);
-        if result == Ok(Acceptance::Accepted) {
-            relay::tell_peers(&self.control, &update.name);
+        if result == Ok(AcceptOutcome::Accepted) {
+            relay::push_to_peers(&self.control, &update.name);
         }
         // A rejected value is answered as known, so that the peer does not send it again whole.
         let store = self.control.store.borrow();
-        let wanted = store.wants(&update.name, update.stamp);
+        let wanted = store.is_new_state(&update.name, update.stamp);
         let held = store.revision(&update.name);
         let known = if wanted { held } else { update.stamp.revision };
         results.get().set_revision(known.bits());
--- a/src/controllers/platform_reader.rs
+++ b/src/controllers/platform_reader.rs
@@ -5,11 +5,11 @@
 use std::time::Duration;
 
 use crate::code::Code;
-use crate::config::config_store::{Acceptance, HOSTS_NAME};
+use crate::config::config_store::{AcceptOutcome, HOSTS_NAME};
 use crate::config::membership;
 use crate::config::platform;
 use crate::config::revision::Revision;
-use crate::controllers::control::Control;
+use crate::controllers::control_plane::ControlPlane;
 use crate::controllers::relay;
 use crate::error::{Error, Result};
 
@@ -26,11 +26,11 @@
 const ALONE_MS: u64 = 5_000;
 
 /// Tells whether this process should watch the platform now.
-pub(crate) struct ReaderDuty {
+pub(crate) struct ReaderRole {
     last_peer_ms: Cell<u64>,
 }
 
-impl ReaderDuty {
+impl ReaderRole {
     pub(crate) fn new() -> Rc<Self> {
         Rc::new(Self {
             last_peer_ms: Cell::new(0),
@@ -38,11 +38,11 @@
     }
 
     /// Notes that a peer answered.
-    pub(crate) fn peer_answered(&self, now_ms: u64) {
+    pub(crate) fn record_peer_answer(&self, now_ms: u64) {
         self.last_peer_ms.set(now_ms);
     }
 
-    fn is_reader(&self, control: &Control) -> bool {
+    fn is_reader(&self, control: &ControlPlane) -> bool {
         let now_ms = control.now_ms();
         if now_ms.saturating_sub(self.last_peer_ms.get()) > ALONE_MS {
             return true;
@@ -51,7 +51,7 @@
         let trusted = |host| !suspicion.is_suspected(host, now_ms);
         let store = control.store.borrow();
         let zone = &control.settings.zone;
-        membership::readers(store.hosts(), zone, trusted).contains(&control.settings.host)
+        membership::select_readers(store.hosts(), zone, trusted).contains(&control.settings.host)
     }
 }
 
@@ -59,13 +59,13 @@
 ///
 /// Returns when either a peer or the platform has answered, since serving before that could mean
 /// an older configuration than one that was accepted.
-pub(crate) async fn start(control: &Rc<Control>, duty: &ReaderDuty) {
+pub(crate) async fn start(control: &Rc<ControlPlane>, reader_role: &ReaderRole) {
     let mut backoff_ms = MIN_BACKOFF_MS;
     loop {
         let hosts = read_one(control, HOSTS_NAME).await;
         let answered = relay::pull_at_start(control).await;
         if answered > 0 {
-            duty.peer_answered(control.now_ms());
+            reader_role.record_peer_answer(control.now_ms());
         }
         let read = match hosts {
             Ok(()) => read_changes(control, Revision::ZERO, 0).await.map(|_| ()),
@@ -81,11 +81,11 @@
 }
 
 /// Watches the platform forever, while this process is a reader.
-pub(crate) async fn run(control: Rc<Control>, duty: Rc<ReaderDuty>) {
+pub(crate) async fn run(control: Rc<ControlPlane>, reader_role: Rc<ReaderRole>) {
     let mut since = Revision::ZERO;
     let mut backoff_ms = MIN_BACKOFF_MS;
     loop {
-        if !duty.is_reader(&control) {
+        if !reader_role.is_reader(&control) {
             compio::time::sleep(Duration::from_millis(IDLE_MS)).await;
             continue;
         }
@@ -104,7 +104,11 @@
 }
 
 /// Waits for changes above `since`, takes them and returns up to where they were seen.
-async fn read_changes(control: &Rc<Control>, since: Revision, wait_ms: u64) -> Result<Revision> {
+async fn read_changes(
+    control: &Rc<ControlPlane>,
+    since: Revision,
+    wait_ms: u64,
+) -> Result<Revision> {
     control.metrics.platform_calls.inc();
     let changes = platform::watch(control.settings.platform, since, wait_ms).await;
     let changes = changes.inspect_err(|error| failed(control, error))?;
@@ -116,7 +120,7 @@
         return Err(error);
     }
     for (name, revision) in &changes.entries {
-        if control.store.borrow().wants(name, *revision) {
+        if control.store.borrow().is_new_state(name, *revision) {
             read_one(control, name).await?;
         }
     }
@@ -130,24 +134,24 @@
 }
 
 /// Reads one value, takes it if it is news and tells it on.
-async fn read_one(control: &Rc<Control>, name: &str) -> Result<()> {
+async fn read_one(control: &Rc<ControlPlane>, name: &str) -> Result<()> {
     control.metrics.platform_calls.inc();
     let value = platform::read_value(control.settings.platform, name).await;
     let (revision, text) = value.inspect_err(|error| failed(control, error))?;
     // A rejected value is counted and kept as rejected; reading goes on with the next one.
-    if control.accept(name, revision, &text) == Ok(Acceptance::Accepted) {
-        relay::tell_peers(control, name);
+    if control.accept(name, revision, &text) == Ok(AcceptOutcome::Accepted) {
+        relay::push_to_peers(control, name);
     }
     Ok(())
 }
 
-fn answered(control: &Control) {
+fn answered(control: &ControlPlane) {
     if !control.platform_answers.replace(true) {
         log::info!("event=platform_answers");
     }
 }
 
-fn failed(control: &Control, error: &Error) {
+fn failed(control: &ControlPlane, error: &Error) {
     control.metrics.platform_failures.inc(error.code);
     if control.platform_answers.replace(false) {
         log::warn!("event=platform_fails error={error}");
--- a/src/controllers/relay.rs
+++ b/src/controllers/relay.rs
@@ -12,8 +12,8 @@
 use crate::config::config_store::{ConfigStore, ValueUpdate};
 use crate::config::membership;
 use crate::config::revision::Revision;
-use crate::config::stamp::Stamp;
-use crate::controllers::control::Control;
+use crate::config::version_stamp::VersionStamp;
+use crate::controllers::control_plane::ControlPlane;
 use crate::error::Result;
 
 /// How often a process compares its revisions with one peer, in milliseconds.
@@ -27,35 +27,35 @@
 const MAX_WANTED: usize = 1_024;
 
 /// Returns the peers of this process, without those that are suspected.
-pub(crate) fn links(control: &Control) -> Vec<Ipv4Addr> {
+pub(crate) fn peers(control: &ControlPlane) -> Vec<Ipv4Addr> {
     let now_ms = control.now_ms();
     let me = control.settings.host;
     let suspicion = control.suspicion.borrow();
     let trusted = |host| !suspicion.is_suspected(host, now_ms);
-    let links = membership::links(control.store.borrow().hosts(), me, trusted);
+    let links = membership::select_peers(control.store.borrow().hosts(), me, trusted);
     if !links.is_empty() {
         return links;
     }
     let mut known = control.settings.seeds.clone();
-    known.extend(control.linking_hosts());
+    known.extend(control.inbound_link_hosts());
     known.retain(|host| *host != me && trusted(*host));
     known
 }
 
 /// Tells the value in force to all peers, each as a change against the revision it had.
-pub(crate) fn tell_peers(control: &Rc<Control>, name: &str) {
-    if !control.tells_peers.get() {
+pub(crate) fn push_to_peers(control: &Rc<ControlPlane>, name: &str) {
+    if !control.pushes_changes.get() {
         return;
     }
     let Some(value) = control.store.borrow().get(name).cloned() else {
         return;
     };
-    for host in links(control) {
+    for host in peers(control) {
         let control = control.clone();
         let name = name.to_owned();
         let base = value.previous_revision;
         compio::runtime::spawn(async move {
-            if let Err(error) = tell(&control, host, &name, base).await {
+            if let Err(error) = push(&control, host, &name, base).await {
                 suspect(&control, host, &error);
             }
         })
@@ -64,33 +64,33 @@
 }
 
 /// Tells one peer, and once more against its own revision where the first change did not fit.
-async fn tell(control: &Control, host: Ipv4Addr, name: &str, base: Revision) -> Result<()> {
+async fn push(control: &ControlPlane, host: Ipv4Addr, name: &str, base: Revision) -> Result<()> {
     let Some(update) = update_for(control, name, base) else {
         return Ok(());
     };
-    let held = control.peers.tell(host, &update).await?;
+    let held = control.peers.push(host, &update).await?;
     if held >= update.stamp.revision {
         return Ok(());
     }
     if let Some(update) = update_for(control, name, held) {
-        control.peers.tell(host, &update).await?;
+        control.peers.push(host, &update).await?;
     }
     Ok(())
 }
 
-fn update_for(control: &Control, name: &str, have: Revision) -> Option<ValueUpdate> {
+fn update_for(control: &ControlPlane, name: &str, have: Revision) -> Option<ValueUpdate> {
     control.store.borrow().update_for(name, have)
 }
 
-fn suspect(control: &Control, host: Ipv4Addr, error: &crate::error::Error) {
+fn suspect(control: &ControlPlane, host: Ipv4Addr, error: &crate::error::Error) {
     log::debug!("event=peer_silent host={host} error={error}");
     let now_ms = control.now_ms();
     control.suspicion.borrow_mut().suspect(host, now_ms);
 }
 
 /// Compares with one random peer and takes what is newer there.
-pub(crate) async fn compare_once(control: &Rc<Control>) -> bool {
-    let links = links(control);
+pub(crate) async fn compare_once(control: &Rc<ControlPlane>) -> bool {
+    let links = peers(control);
     let Some(host) = links.choose(&mut rand::rng()).copied() else {
         return false;
     };
@@ -101,7 +101,7 @@
     result.is_ok()
 }
 
-pub(crate) async fn compare_with(control: &Rc<Control>, host: Ipv4Addr) -> Result<()> {
+pub(crate) async fn compare_with(control: &Rc<ControlPlane>, host: Ipv4Addr) -> Result<()> {
     let mine = control.store.borrow().digest();
     let theirs = control.peers.compare(host, mine).await?;
     if theirs == mine {
@@ -114,7 +114,7 @@
             return Ok(());
         }
     }
-    pull(control, host, mine.highest.back(RECENT_REVISIONS)).await?;
+    pull(control, host, mine.highest.saturating_sub(RECENT_REVISIONS)).await?;
     let mine = control.store.borrow().digest();
     if theirs.hash != mine.hash && theirs.highest >= mine.highest {
         pull(control, host, Revision::ZERO).await?;
@@ -123,7 +123,11 @@
 }
 
 /// Takes from a peer what has a revision above `floor` and is news here.
-pub(crate) async fn pull(control: &Rc<Control>, host: Ipv4Addr, floor: Revision) -> Result<()> {
+pub(crate) async fn pull(
+    control: &Rc<ControlPlane>,
+    host: Ipv4Addr,
+    floor: Revision,
+) -> Result<()> {
     let started_ms = control.now_ms();
     let states = control.peers.changes(host, floor).await?;
     let mut wanted = wanted(&control.store.borrow(), states);
@@ -136,7 +140,7 @@
         wanted.drain(..handled.min(asked));
         // A rejection is counted and kept in the store; the other values still count.
         for name in control.accept_updates(&updates) {
-            tell_peers(control, name);
+            push_to_peers(control, name);
         }
     }
     let took_ms = control.now_ms().saturating_sub(started_ms);
@@ -146,10 +150,10 @@
 }
 
 /// Returns the names of the values that are news here, each with the revision that is held of it.
-fn wanted(store: &ConfigStore, states: Vec<(String, Stamp)>) -> Vec<(String, Revision)> {
+fn wanted(store: &ConfigStore, states: Vec<(String, VersionStamp)>) -> Vec<(String, Revision)> {
     let news = states
         .into_iter()
-        .filter(|(name, stamp)| store.wants(name, *stamp));
+        .filter(|(name, stamp)| store.is_new_state(name, *stamp));
     news.map(|(name, _)| {
         let held = store.revision(&name);
         (name, held)
@@ -158,9 +162,9 @@
 }
 
 /// Takes what several peers hold, before this process serves; returns how many answered.
-pub(crate) async fn pull_at_start(control: &Rc<Control>) -> usize {
+pub(crate) async fn pull_at_start(control: &Rc<ControlPlane>) -> usize {
     let mut answered = 0;
-    for host in links(control).into_iter().take(START_PEERS) {
+    for host in peers(control).into_iter().take(START_PEERS) {
         match pull(control, host, Revision::ZERO).await {
             Ok(()) => answered += 1,
             Err(error) => suspect(control, host, &error),
@@ -170,13 +174,13 @@
 }
 
 /// Asks a host whose packet showed a higher revision, at most one ask at a time.
-pub(crate) struct RevisionChaser {
-    control: Rc<Control>,
+pub(crate) struct RevisionPuller {
+    control: Rc<ControlPlane>,
     asking: Rc<Cell<bool>>,
 }
 
-impl RevisionChaser {
-    pub(crate) fn new(control: &Rc<Control>) -> Self {
+impl RevisionPuller {
+    pub(crate) fn new(control: &Rc<ControlPlane>) -> Self {
         Self {
             control: control.clone(),
             asking: Rc::default(),
@@ -184,7 +188,7 @@
     }
 
     /// Notes the revision on a packet from `host`.
-    pub(crate) fn saw(&self, host: Ipv4Addr, revision: Revision) {
+    pub(crate) fn observe(&self, host: Ipv4Addr, revision: Revision) {
         let mine = self.control.store.borrow().digest().highest;
         if revision <= mine || self.asking.replace(true) {
             return;
--- a/src/controllers/reload.rs
+++ b/src/controllers/reload.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use crate::config::settings::Settings;
-use crate::controllers::control::Control;
+use crate::controllers::control_plane::ControlPlane;
 
 const SIGHUP: i32 = 1;
 
@@ -12,7 +12,7 @@
 ///
 /// The level of log lines is taken at once; what is bound to sockets or identity needs a restart, and
 /// the line says so. A file that can't be used changes nothing.
-pub(crate) async fn run(control: Rc<Control>, path: &Path) {
+pub(crate) async fn run(control: Rc<ControlPlane>, path: &Path) {
     // Without any listener a hangup ends the process, also between two waits of the loop. This one is
     // registered by its first poll and never completes, as it is not polled again.
     let mut held = std::pin::pin!(compio::signal::unix::signal(SIGHUP));
--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -9,7 +9,7 @@
 use rand::Rng;
 
 use crate::code::Code;
-use crate::config::table::{Row, Table};
+use crate::config::table::{Table, TableRow};
 use crate::decisions::flow_history::FlowHistory;
 use crate::decisions::load_board::{FULL_SHARE_PERMILLE, KnownLoad, LoadBoard};
 use crate::decisions::placement;
@@ -242,7 +242,7 @@
     fn peers(&self, table: &Table, board: &LoadBoard, now_ms: u64) -> Peers {
         let own_weight = table.row_on(self.host).map_or(0, |row| row.weight);
         let others = table.rows.iter().filter(|row| row.host != self.host);
-        let standing = |row: &Row| {
+        let standing = |row: &TableRow| {
             let known = board.fresh(row.host, now_ms)?;
             self.peer_standing(row, &known, own_weight)
         };
@@ -254,7 +254,12 @@
     /// When all flows of a site open anew within seconds, reports are old before they arrive, and
     /// every peer would seem to stand below. But owners are drawn evenly, so that a peer has grown
     /// as this agent would have; see docs/DESIGN.md, "Deflection".
-    fn peer_standing(&self, row: &Row, known: &KnownLoad, own_weight: u32) -> Option<Standing> {
+    fn peer_standing(
+        &self,
+        row: &TableRow,
+        known: &KnownLoad,
+        own_weight: u32,
+    ) -> Option<Standing> {
         let report = &known.report;
         let mut standing = Standing::new(row, report.open_flows, report.share_permille);
         if own_weight > 0 {
@@ -283,12 +288,13 @@
         board: &LoadBoard,
         now_ms: u64,
     ) -> Option<Ipv4Addr> {
-        let unknown = |row: &Row| row.host != self.host && board.fresh(row.host, now_ms).is_none();
+        let unknown =
+            |row: &TableRow| row.host != self.host && board.fresh(row.host, now_ms).is_none();
         let chosen = placement::candidates(table, opener.hash, unknown)?;
         Some(chosen.first.host)
     }
 
-    fn has_room(&self, row: &Row) -> bool {
+    fn has_room(&self, row: &TableRow) -> bool {
         !self.draining && self.open_flows < row.connections
     }
 }
@@ -332,7 +338,7 @@
 }
 
 impl Standing {
-    fn new(row: &Row, open_flows: u32, share_permille: u16) -> Self {
+    fn new(row: &TableRow, open_flows: u32, share_permille: u16) -> Self {
         let share = f64::from(share_permille) / f64::from(FULL_SHARE_PERMILLE);
         Self {
             host: row.host,
--- a/src/decisions/placement.rs
+++ b/src/decisions/placement.rs
@@ -7,15 +7,15 @@
 use std::net::Ipv4Addr;
 
 use crate::config::hash;
-use crate::config::table::{Row, Table};
+use crate::config::table::{Table, TableRow};
 
 /// The owner of an opener and the target that takes it when the owner can't.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidates<'a> {
     /// The owner.
-    pub first: &'a Row,
+    pub first: &'a TableRow,
     /// The runner-up, absent where the service has one target.
-    pub second: Option<&'a Row>,
+    pub second: Option<&'a TableRow>,
 }
 
 /// Draws the two best targets for an opener among rows that `eligible` lets pass.
@@ -24,10 +24,10 @@
 pub fn candidates(
     table: &Table,
     opener_hash: u64,
-    eligible: impl Fn(&Row) -> bool,
+    eligible: impl Fn(&TableRow) -> bool,
 ) -> Option<Candidates<'_>> {
-    let mut first: Option<(f64, &Row)> = None;
-    let mut second: Option<(f64, &Row)> = None;
+    let mut first: Option<(f64, &TableRow)> = None;
+    let mut second: Option<(f64, &TableRow)> = None;
     for row in table.rows.iter().filter(|row| row.weight > 0) {
         if !eligible(row) {
             continue;
@@ -47,7 +47,11 @@
 }
 
 /// Returns all rows that `eligible` lets pass, best first.
-pub fn ranked(table: &Table, opener_hash: u64, eligible: impl Fn(&Row) -> bool) -> Vec<&Row> {
+pub fn ranked(
+    table: &Table,
+    opener_hash: u64,
+    eligible: impl Fn(&TableRow) -> bool,
+) -> Vec<&TableRow> {
     ranked_by(table, |row| eligible(row).then(|| score(opener_hash, row)))
 }
 
@@ -58,23 +62,24 @@
 pub(crate) fn ranked_by_slots(
     table: &Table,
     opener_hash: u64,
-    eligible: impl Fn(&Row) -> bool,
-) -> Vec<&Row> {
+    eligible: impl Fn(&TableRow) -> bool,
+) -> Vec<&TableRow> {
     ranked_by(table, |row| {
         eligible(row).then(|| weighted_score(opener_hash, row, row.slots))
     })
 }
 
 /// Returns the rows that have a score, best first.
-fn ranked_by(table: &Table, score: impl Fn(&Row) -> Option<f64>) -> Vec<&Row> {
+fn ranked_by(table: &Table, score: impl Fn(&TableRow) -> Option<f64>) -> Vec<&TableRow> {
     let rows = table.rows.iter();
-    let mut scored: Vec<(f64, &Row)> = rows.filter_map(|row| Some((score(row)?, row))).collect();
+    let mut scored: Vec<(f64, &TableRow)> =
+        rows.filter_map(|row| Some((score(row)?, row))).collect();
     scored.sort_by(|(left, _), (right, _)| right.total_cmp(left));
     scored.into_iter().map(|(_, row)| row).collect()
 }
 
 /// Returns the `count` hosts that come first for an opener where their targets weigh the same and
-/// [`Row::target_hash`] is the hash of the host.
+/// [`TableRow::target_hash`] is the hash of the host.
 pub(crate) fn first_hosts(
     mut hosts: Vec<Ipv4Addr>,
     opener_hash: u64,
@@ -89,7 +94,7 @@
     hosts
 }
 
-fn beats(challenger: Option<(f64, &Row)>, holder: Option<(f64, &Row)>) -> bool {
+fn beats(challenger: Option<(f64, &TableRow)>, holder: Option<(f64, &TableRow)>) -> bool {
     match (challenger, holder) {
         (Some((score, _)), Some((held, _))) => score > held,
         (Some(_), None) => true,
@@ -98,11 +103,11 @@
 }
 
 /// Scores a row so that the greatest score wins with a probability proportional to its weight.
-fn score(opener_hash: u64, row: &Row) -> f64 {
+fn score(opener_hash: u64, row: &TableRow) -> f64 {
     weighted_score(opener_hash, row, row.weight)
 }
 
-fn weighted_score(opener_hash: u64, row: &Row, weight: u32) -> f64 {
+fn weighted_score(opener_hash: u64, row: &TableRow, weight: u32) -> f64 {
     const SCALE: f64 = 1.0 / (1u64 << 53) as f64;
     let bits = hash::pair_hash(opener_hash, row.target_hash) >> 11;
     let uniform = (bits as f64 + 0.5) * SCALE;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -31,22 +31,24 @@
 
 pub use crate::code::Code;
 pub use crate::config::config_store::{
-    Acceptance, ConfigStore, Digest, HOSTS_NAME, KEYS_NAME, TABLE_PREFIX, ValueUpdate,
+    AcceptOutcome, ConfigStore, Digest, HOSTS_NAME, KEYS_NAME, TABLE_PREFIX, ValueUpdate,
 };
 pub use crate::config::delta::Delta;
 pub use crate::config::hash::{bytes_hash, name_hash};
 pub use crate::config::hosts::{HOSTS_HEADER, Host, HostList, HostRole, HostState};
+pub use crate::config::incoming_value::IncomingValue;
 pub use crate::config::keys::{CLUSTER_KEY_BYTES, ClusterKey, KEYS_HEADER, KeyRing};
-pub use crate::config::membership::{PEER_LINKS, READERS_PER_ZONE, links, readers};
+pub use crate::config::membership::{
+    PEERS_PER_PROCESS, READERS_PER_ZONE, select_peers, select_readers,
+};
 pub use crate::config::platform::{PlatformChanges, read_value, watch};
 pub use crate::config::revision::Revision;
-pub use crate::config::sealed_id::{Purpose, SEALED_ID_BYTES, SealedBytes, SealedId};
+pub use crate::config::sealed_id::{SEALED_ID_BYTES, SealedBytes, SealedId, SealedIdKind};
 pub use crate::config::service_id::ServiceId;
 pub use crate::config::settings::Settings;
-pub use crate::config::stamp::Stamp;
-pub use crate::config::table::{Row, TABLE_HEADER, Table, parse_tables};
+pub use crate::config::table::{TABLE_HEADER, Table, TableRow, parse_tables};
 pub use crate::config::table_diff::{RowChange, TableDiff};
-pub use crate::config::value_state::ValueState;
+pub use crate::config::version_stamp::VersionStamp;
 pub use crate::decisions::admission::{Admission, Decision, Handed, Opener, RAMP_MS};
 pub use crate::decisions::early_openers::{EarlyOpener, EarlyOpeners};
 pub use crate::decisions::known_waits::KnownWaits;
--- a/src/links/mod.rs
+++ b/src/links/mod.rs
@@ -6,5 +6,5 @@
 pub(crate) mod link;
 pub(crate) mod link_auth;
 pub(crate) mod node_codec;
+pub(crate) mod peer_client;
 pub(crate) mod peer_request;
-pub(crate) mod peers;
--- a/src/links/node_codec.rs
+++ b/src/links/node_codec.rs
@@ -8,7 +8,7 @@
 use crate::code::Code;
 use crate::config::config_store::{Digest, ValueUpdate};
 use crate::config::delta::Delta;
-use crate::config::stamp::Stamp;
+use crate::config::version_stamp::VersionStamp;
 use crate::decisions::load_board::LoadReport;
 use crate::error::{Error, Result};
 use crate::node_capnp::{digest, entry, header, load_report, value};
@@ -31,7 +31,7 @@
 /// Writes names of values and their states.
 pub(crate) fn write_entries<'a>(
     mut builder: capnp::struct_list::Builder<'_, entry::Owned>,
-    entries: impl Iterator<Item = (&'a str, Stamp)>,
+    entries: impl Iterator<Item = (&'a str, VersionStamp)>,
 ) {
     for (index, (name, stamp)) in entries.enumerate() {
         let mut entry = builder.reborrow().get(index as u32);
@@ -41,14 +41,14 @@
     }
 }
 
-pub(crate) fn read_entry(reader: entry::Reader<'_>) -> Result<(String, Stamp)> {
+pub(crate) fn read_entry(reader: entry::Reader<'_>) -> Result<(String, VersionStamp)> {
     let stamp = stamp(reader.get_revision(), reader.get_version());
     Ok((text(reader.get_name())?, stamp))
 }
 
 /// Makes a stamp of its two fields on the wire.
-fn stamp(revision_bits: u64, version: u64) -> Stamp {
-    Stamp {
+fn stamp(revision_bits: u64, version: u64) -> VersionStamp {
+    VersionStamp {
         revision: revision_bits.into(),
         version,
     }
--- a/src/links/peers.rs
+++ b/src/links/peer_client.rs
@@ -12,7 +12,7 @@
 use crate::config::revision::Revision;
 use crate::config::sealed_id::{SEALED_ID_BYTES, SealedBytes};
 use crate::config::service_id::ServiceId;
-use crate::config::stamp::Stamp;
+use crate::config::version_stamp::VersionStamp;
 use crate::decisions::load_board::LoadReport;
 use crate::decisions::slots::Refusal;
 use crate::error::{Error, Result};
@@ -37,7 +37,7 @@
 }
 
 /// The links of a process, made when first used and dropped when a call fails.
-pub(crate) struct Peers {
+pub(crate) struct PeerClient {
     own: Ipv4Addr,
     cluster: ClusterKey,
     control_port: u16,
@@ -45,7 +45,7 @@
     links: RefCell<Vec<(Ipv4Addr, Rc<Link>)>>,
 }
 
-impl Peers {
+impl PeerClient {
     /// Makes the links of the process on host `own`; an operator's client names no host.
     pub(crate) fn new(
         own: Ipv4Addr,
@@ -63,17 +63,17 @@
     }
 
     /// Drops all links, as after a pause in which the other ends may have gone.
-    pub(crate) fn drop_all(&self) {
+    pub(crate) fn drop_links(&self) {
         self.links.borrow_mut().clear();
     }
 
     /// Drops the links to hosts that `keep` rejects.
-    pub(crate) fn retain(&self, keep: impl Fn(Ipv4Addr) -> bool) {
+    pub(crate) fn retain_links(&self, keep: impl Fn(Ipv4Addr) -> bool) {
         self.links.borrow_mut().retain(|(host, _)| keep(*host));
     }
 
     /// Returns the hosts to which a link is open.
-    pub(crate) fn linked(&self) -> Vec<Ipv4Addr> {
+    pub(crate) fn linked_hosts(&self) -> Vec<Ipv4Addr> {
         self.links.borrow().iter().map(|(host, _)| *host).collect()
     }
 
@@ -91,7 +91,7 @@
         &self,
         host: Ipv4Addr,
         floor: Revision,
-    ) -> Result<Vec<(String, Stamp)>> {
+    ) -> Result<Vec<(String, VersionStamp)>> {
         self.call(host, CALL_TIMEOUT_MS, |client| async move {
             let mut request = client.changes_request();
             request.get().set_floor(floor.bits());
@@ -118,7 +118,7 @@
             let mut request = client.fetch_request();
             let entries = request.get().init_wanted(wanted.len() as u32);
             let wanted = wanted.iter();
-            let wanted = wanted.map(|(name, have)| (&**name, Stamp::from(*have)));
+            let wanted = wanted.map(|(name, have)| (&**name, VersionStamp::from(*have)));
             node_codec::write_entries(entries, wanted);
             let response = request.send().promise.await?;
             let answer = response.get()?;
@@ -131,7 +131,7 @@
     }
 
     /// Tells a value and returns the revision that the peer holds then.
-    pub(crate) async fn tell(&self, host: Ipv4Addr, update: &ValueUpdate) -> Result<Revision> {
+    pub(crate) async fn push(&self, host: Ipv4Addr, update: &ValueUpdate) -> Result<Revision> {
         self.call(host, CALL_TIMEOUT_MS, |client| async move {
             let mut request = client.tell_request();
             node_codec::write_value(request.get().init_value(), update);
--- a/src/opaque/mod.rs
+++ b/src/opaque/mod.rs
@@ -19,12 +19,14 @@
     BACKEND_PREFIX, Backend, BackendState, BackendValue, GONE_TEXT, UnusableReason, backend_text,
     cold_backend_text, started_backend_text, unusable_text,
 };
-pub use crate::config::cold_starts::{COLD_STARTS_NAME, ColdStart, cold_start_line, cold_starts};
-pub use crate::config::deadlines::{DEADLINES_NAME, Deadline, deadlines, deadlines_text};
+pub use crate::config::cold_starts::{
+    COLD_STARTS_NAME, ColdStart, cold_start_line, parse_cold_starts,
+};
+pub use crate::config::deadlines::{DEADLINES_NAME, Deadline, deadlines_text, parse_deadlines};
 pub use crate::config::evacuation::{EVACUATED_PREFIX, EVACUATED_TEXT, evacuation_name};
 pub use crate::config::route_diff::{RouteChange, route_changes};
 pub use crate::config::route_table::{ROUTES_HEADER, ROUTES_NAME, Route, RouteShare, RouteTable};
-pub use crate::config::service_names::{SERVICES_NAME, service_names, services_text};
+pub use crate::config::service_names::{SERVICES_NAME, parse_services, services_text};
 pub use crate::opaque::finding::flow_search::FlowSearch;
 pub use crate::opaque::finding::lookup::{Lookups, Question, Verdict};
 pub use crate::opaque::forwarder::{Forwarder, steady_load, told_wait};
--- a/src/opaque/processes/entry.rs
+++ b/src/opaque/processes/entry.rs
@@ -9,7 +9,7 @@
 use compio::net::UdpSocket;
 
 use crate::code::Code;
-use crate::controllers::control::Control;
+use crate::controllers::control_plane::ControlPlane;
 use crate::error::{Error, Result};
 use crate::opaque::forwarder::{Forwarder, named_flow, steady_load, told_wait};
 use crate::opaque::packets::message::{Message, MessageKind};
@@ -33,7 +33,7 @@
 
 /// Runs a balancer until `stop` completes.
 pub(crate) async fn run(
-    control: Rc<Control>,
+    control: Rc<ControlPlane>,
     adapter: Adapter,
     stop: impl Future<Output = ()>,
 ) -> Result<()> {
--- a/src/opaque/processes/node.rs
+++ b/src/opaque/processes/node.rs
@@ -7,7 +7,7 @@
 use compio::BufResult;
 use compio::net::UdpSocket;
 
-use crate::controllers::control::Control;
+use crate::controllers::control_plane::ControlPlane;
 use crate::error::{Error, Result};
 use crate::opaque::Adapter;
 use crate::opaque::finding::flow_search::FlowSearch;
@@ -29,7 +29,7 @@
 
 /// The parts of a process on which both roles build.
 pub(crate) struct Node {
-    pub(crate) control: Rc<Control>,
+    pub(crate) control: Rc<ControlPlane>,
     pub(crate) wire: WireFormat,
     pub(crate) directory: RefCell<Directory>,
     pub(crate) values: Rc<PublishedValues>,
@@ -44,7 +44,7 @@
 
 impl Node {
     /// Makes the node and binds the socket between processes.
-    pub(crate) fn new(control: &Rc<Control>, adapter: Adapter) -> Result<Rc<Self>> {
+    pub(crate) fn new(control: &Rc<ControlPlane>, adapter: Adapter) -> Result<Rc<Self>> {
         let address = SocketAddr::from((control.settings.host, control.settings.datagram_port));
         let (receiver, sender) = udp::bind_pair(address)?;
         let node = Rc::new(Self {
@@ -58,7 +58,7 @@
             search: RefCell::default(),
             load_permille: Cell::new(UNKNOWN_LOAD),
         });
-        control.tells_peers.set(false);
+        control.pushes_changes.set(false);
         let changed = node.clone();
         control.on_change(move |names| changed.values_changed(names));
         Ok(node)
--- a/src/opaque/processes/readiness.rs
+++ b/src/opaque/processes/readiness.rs
@@ -8,7 +8,7 @@
 use http::{Response, StatusCode};
 use http_body_util::Full;
 
-use crate::controllers::control::Control;
+use crate::controllers::control_plane::ControlPlane;
 use crate::error::Result;
 use crate::process::http_server;
 
@@ -16,7 +16,7 @@
 pub(crate) type Ready = Rc<Cell<bool>>;
 
 /// Binds the address of the settings and answers there from now on.
-pub(crate) async fn serve(control: &Control) -> Result<Ready> {
+pub(crate) async fn serve(control: &ControlPlane) -> Result<Ready> {
     let ready = Ready::default();
     let Some(address) = control.settings.opaque.ready else {
         return Ok(ready);
@@ -38,7 +38,7 @@
 }
 
 /// Says that a process takes traffic from now on.
-pub(crate) fn announce(control: &Control, ready: &Ready) {
+pub(crate) fn announce(control: &ControlPlane, ready: &Ready) {
     ready.set(true);
     let revision = control.store.borrow().digest().highest;
     log::info!("event=ready revision={revision}");
--- a/src/opaque/processes/side.rs
+++ b/src/opaque/processes/side.rs
@@ -11,7 +11,7 @@
 
 use crate::code::Code;
 use crate::config::service_id::ServiceId;
-use crate::controllers::control::Control;
+use crate::controllers::control_plane::ControlPlane;
 use crate::decisions::stall::LOOK_MS;
 use crate::error::{Error, Result};
 use crate::opaque::finding::lookup::asks_all;
@@ -49,7 +49,7 @@
 
 /// Runs an agent until `stop` completes.
 pub(crate) async fn run(
-    control: Rc<Control>,
+    control: Rc<ControlPlane>,
     adapter: Adapter,
     stop: impl Future<Output = ()>,
 ) -> Result<()> {
@@ -89,14 +89,14 @@
     Ok(())
 }
 
-fn identity(control: &Control) -> Result<KeeperIdentity> {
+fn identity(control: &ControlPlane) -> Result<KeeperIdentity> {
     let settings = &control.settings.opaque;
     let missing = |key: &str| Error::new(Code::SettingsMissing, format!("[opaque] {key}"));
     let service = settings.service.as_deref();
     Ok(KeeperIdentity {
         host: control.settings.host,
         backend: settings.backend.ok_or_else(|| missing("backend"))?,
-        service: ServiceId::of(service.ok_or_else(|| missing("service"))?),
+        service: ServiceId::from_name(service.ok_or_else(|| missing("service"))?),
         flow_lifetime_ms: settings.flow_lifetime_ms(),
     })
 }
--- a/src/opaque/processes/state.rs
+++ b/src/opaque/processes/state.rs
@@ -6,21 +6,21 @@
 
 use crate::config::backend_entry::{BACKEND_PREFIX, BackendFields};
 use crate::config::evacuation::Evacuation;
-use crate::controllers::control::Control;
+use crate::controllers::control_plane::ControlPlane;
 use crate::controllers::node_server::{self, NodeHooks};
 
 /// Returns what a process in this role answers on control links.
-pub(crate) fn hooks(control: &Rc<Control>, role: &'static str) -> NodeHooks {
+pub(crate) fn hooks(control: &Rc<ControlPlane>, role: &'static str) -> NodeHooks {
     let control = control.clone();
     node_server::hooks_without_flows(move || state(&control, role))
 }
 
 /// Returns the published backend servers that are not gone, as the process knows them.
-fn backends(control: &Control) -> Value {
+fn backends(control: &ControlPlane) -> Value {
     let store = control.store.borrow();
     let records = store.values().iter().filter_map(|value| {
         let id = value.name.strip_prefix(BACKEND_PREFIX)?;
-        let fields = BackendFields::of(&value.text)?;
+        let fields = BackendFields::parse(&value.text)?;
         Some(json!({
             "id": id,
             "service": fields.service,
@@ -35,19 +35,19 @@
 }
 
 /// Returns the availability zones that are evacuated as far as the process knows.
-fn evacuated_zones(control: &Control) -> Value {
+fn evacuated_zones(control: &ControlPlane) -> Value {
     let store = control.store.borrow();
     let evacuations = store
         .values()
         .iter()
-        .filter_map(|value| Evacuation::of(&value.name, &value.text));
+        .filter_map(|value| Evacuation::parse(&value.name, &value.text));
     evacuations
         .filter(|evacuation| evacuation.is_in_force)
         .map(|evacuation| evacuation.zone)
         .collect()
 }
 
-fn state(control: &Control, role: &str) -> Value {
+fn state(control: &ControlPlane, role: &str) -> Value {
     let metrics = &control.metrics;
     let opaque = &metrics.opaque;
     let mut state = control.state(role);
--- a/src/opaque/values/backend_tables.rs
+++ b/src/opaque/values/backend_tables.rs
@@ -4,7 +4,7 @@
 
 use crate::config::hash;
 use crate::config::service_id::ServiceId;
-use crate::config::table::{Row, Table};
+use crate::config::table::{Table, TableRow};
 use crate::opaque::values::published_entry::PublishedEntry;
 
 /// A table for each service, and the availability zone and cold start of each host.
@@ -83,10 +83,10 @@
     tables
 }
 
-fn row(entry: &PublishedEntry, takes_flows: bool) -> Row {
+fn row(entry: &PublishedEntry, takes_flows: bool) -> TableRow {
     let weight = if takes_flows { entry.backend.slots } else { 0 };
     let host = *entry.backend.address.ip();
-    Row {
+    TableRow {
         // By the host and not by the id, which a process without a configuration does not know.
         target_hash: hash::host_hash(host),
         target: entry.id.clone(),
--- a/src/opaque/values/directory.rs
+++ b/src/opaque/values/directory.rs
@@ -225,7 +225,10 @@
 
     /// Returns the service that a flow goes to when it opens.
     pub(crate) fn service_of(&self, flow: &FlowKey) -> Option<ServiceId> {
-        self.told.routes.get(flow.called)?.service(flow.hash())
+        self.told
+            .routes
+            .get(flow.called)?
+            .select_service(flow.hash())
     }
 
     /// Returns the table of the service that a flow goes to when it opens.
@@ -335,7 +338,7 @@
                 BackendState::Draining => HostState::Leaving,
             },
         });
-        HostList::of(hosts.collect())
+        HostList::from_hosts(hosts.collect())
     }
 
     fn rebuild(&mut self) {
--- a/src/opaque/values/news.rs
+++ b/src/opaque/values/news.rs
@@ -4,8 +4,8 @@
 
 use crate::config::config_store::ConfigStore;
 use crate::config::evacuation::EVACUATED_PREFIX;
+use crate::config::incoming_value::IncomingValue;
 use crate::config::revision::Revision;
-use crate::config::value_state::ValueState;
 use crate::opaque::values::source::Batch;
 use crate::opaque::{BACKEND_PREFIX, GONE_TEXT};
 
@@ -17,8 +17,8 @@
 /// that lags, and flows of a backend server that serves be reset: the return of an entry that vanished within
 /// the batch, every newer revision of a whole read, which follows lost history, and the first state in an era of the
 /// platform, at whose revision processes that start then hold the value.
-pub fn news<'a>(store: &ConfigStore, batch: &'a Batch) -> Vec<ValueState<'a>> {
-    let mut news: Vec<ValueState<'_>> = Vec::new();
+pub fn news<'a>(store: &ConfigStore, batch: &'a Batch) -> Vec<IncomingValue<'a>> {
+    let mut news: Vec<IncomingValue<'_>> = Vec::new();
     // What each value holds once the batch was taken up to here, where that changed.
     let mut taken: BTreeMap<&str, &str> = BTreeMap::new();
     for value in &batch.values {
@@ -30,8 +30,8 @@
         let held_text = || held.map(|held| held.text.as_str());
         let known = taken.get(name).copied().or_else(held_text);
         let is_new = batch.is_whole || known != Some(text);
-        if is_new && store.wants(name, stamp) {
-            news.push(ValueState { name, stamp, text });
+        if is_new && store.is_new_state(name, stamp) {
+            news.push(IncomingValue { name, stamp, text });
             taken.insert(name, text);
         }
     }
@@ -57,7 +57,7 @@
     let older = batch.values.iter().filter_map(|value| {
         let held = store.get(&value.name)?;
         let text = value.text.as_deref().unwrap_or(GONE_TEXT);
-        let is_older = !value.stamp.is_after(held.stamp()) && held.text != text;
+        let is_older = !value.stamp.supersedes(held.stamp()) && held.text != text;
         is_older.then_some(Dropped {
             name: &value.name,
             revision: value.stamp.revision,
@@ -81,7 +81,7 @@
         .collect();
     named.sort_unstable();
     let values = store.values().iter();
-    let is_settled = store.is_settled(batch.revision.era());
+    let is_settled = store.is_era_settled(batch.revision.era());
     values
         .filter(|value| may_vanish(&value.name, is_settled))
         .filter(|value| value.text != GONE_TEXT && value.revision <= batch.revision)
--- a/src/opaque/values/published.rs
+++ b/src/opaque/values/published.rs
@@ -8,9 +8,9 @@
 use crate::code::Code;
 use crate::config::backend_entry::GONE_TEXT;
 use crate::config::hash;
+use crate::config::incoming_value::IncomingValue;
 use crate::config::revision::Revision;
-use crate::config::value_state::ValueState;
-use crate::controllers::control::Control;
+use crate::controllers::control_plane::ControlPlane;
 use crate::controllers::relay;
 use crate::error::Result;
 use crate::opaque::packets::message::{Message, UNKNOWN_AGE_MS, UNSETTLED_UNIT_MS};
@@ -40,7 +40,7 @@
 const MISSED_BEATS: u32 = 2;
 /// What a process knows of how new its values are.
 pub(crate) struct PublishedValues {
-    control: Rc<Control>,
+    control: Rc<ControlPlane>,
     source: Source,
     freshness: RefCell<Freshness>,
     seen_revision: Cell<Revision>,
@@ -52,7 +52,7 @@
 }
 
 impl PublishedValues {
-    pub(crate) fn new(control: &Rc<Control>, source: Source) -> Rc<Self> {
+    pub(crate) fn new(control: &Rc<ControlPlane>, source: Source) -> Rc<Self> {
         let settings = &control.settings;
         let is_seed = settings.seeds.contains(&settings.host);
         let start_reads = StartReads::new(is_seed, control.now_ms());
@@ -248,7 +248,7 @@
             Some(RestorationStep::Settled) => {
                 log::info!("event=platform_settled revision={highest}");
                 let era = self.restoration.borrow().era();
-                self.control.store.borrow_mut().settle(era);
+                self.control.store.borrow_mut().mark_era_settled(era);
                 // What was not believed until now is read again.
                 self.seen_revision.set(Revision::ZERO);
             }
@@ -280,7 +280,7 @@
             let store = self.control.store.borrow();
             news(&store, batch)
         };
-        let gone = vanished.iter().map(|name| ValueState {
+        let gone = vanished.iter().map(|name| IncomingValue {
             name,
             stamp: batch.revision.into(),
             text: GONE_TEXT,
--- a/src/opaque/values/published_entries.rs
+++ b/src/opaque/values/published_entries.rs
@@ -62,7 +62,7 @@
             (Err(index), BackendValue::Unusable(reason)) => {
                 self.unusable.insert(index, (*id).to_owned());
                 let code = Code::EntryUnusable.number();
-                let reason = reason.word();
+                let reason = reason.as_str();
                 log::warn!(
                     "event=entry_unusable id={id:?} revision={revision} code={code} reason={reason}"
                 );
--- a/src/opaque/values/source.rs
+++ b/src/opaque/values/source.rs
@@ -4,7 +4,7 @@
 
 use crate::code::Code;
 use crate::config::revision::Revision;
-use crate::config::stamp::Stamp;
+use crate::config::version_stamp::VersionStamp;
 use crate::error::{Error, Result};
 
 /// One published value; without a text it is no longer published.
@@ -13,7 +13,7 @@
     /// Its name among the values of the product.
     pub name: String,
     /// Where this state stands among all that the value had.
-    pub stamp: Stamp,
+    pub stamp: VersionStamp,
     /// Its text in the product's format.
     pub text: Option<String>,
 }
--- a/src/opaque/values/value_change.rs
+++ b/src/opaque/values/value_change.rs
@@ -1,14 +1,14 @@
 //! What a value in force tells the directory.
 
 use crate::config::backend_entry::BackendValue;
-use crate::config::cold_starts::{COLD_STARTS_NAME, ColdStart, cold_starts};
+use crate::config::cold_starts::{COLD_STARTS_NAME, ColdStart, parse_cold_starts};
 use crate::config::config_store::StoredValue;
-use crate::config::deadlines::{DEADLINES_NAME, Deadline, deadlines};
+use crate::config::deadlines::{DEADLINES_NAME, Deadline, parse_deadlines};
 use crate::config::evacuation::Evacuation;
 use crate::config::revision::Revision;
 use crate::config::route_table::RouteTable;
 use crate::config::service_id::ServiceId;
-use crate::config::service_names::{SERVICES_NAME, service_names};
+use crate::config::service_names::{SERVICES_NAME, parse_services};
 use crate::opaque::values::backend_change::BackendChange;
 use crate::opaque::{BACKEND_PREFIX, ROUTES_NAME};
 
@@ -31,13 +31,13 @@
         let text = value.text.as_str();
         match value.name.as_str() {
             ROUTES_NAME => RouteTable::parse(text).ok().map(Self::Routes),
-            SERVICES_NAME => Some(Self::Services(service_names(text))),
-            COLD_STARTS_NAME => cold_starts(text).ok().map(Self::ColdStarts),
-            DEADLINES_NAME => deadlines(text).ok().map(Self::Deadlines),
+            SERVICES_NAME => Some(Self::Services(parse_services(text))),
+            COLD_STARTS_NAME => parse_cold_starts(text).ok().map(Self::ColdStarts),
+            DEADLINES_NAME => parse_deadlines(text).ok().map(Self::Deadlines),
             name => match name.strip_prefix(BACKEND_PREFIX) {
                 Some(id) => backend_change(id, value),
                 None => {
-                    let evacuation = Evacuation::of(name, text)?;
+                    let evacuation = Evacuation::parse(name, text)?;
                     Some(Self::Evacuation(evacuation, value.revision))
                 }
             },
--- a/src/programs/daemon.rs
+++ b/src/programs/daemon.rs
@@ -12,10 +12,10 @@
 use http_body_util::Full;
 
 use crate::config::settings::Settings;
-use crate::controllers::control::Control;
+use crate::controllers::control_plane::ControlPlane;
 use crate::controllers::node_server;
 use crate::controllers::node_server::NodeHooks;
-use crate::controllers::platform_reader::ReaderDuty;
+use crate::controllers::platform_reader::ReaderRole;
 use crate::controllers::{platform_reader, relay, reload};
 use crate::error::Result;
 use crate::opaque::{self, Adapter};
@@ -97,7 +97,7 @@
 fn run<F>(
     program: &str,
     settings_variable: Option<&str>,
-    role: impl FnOnce(Rc<Control>) -> F,
+    role: impl FnOnce(Rc<ControlPlane>) -> F,
 ) -> ExitCode
 where
     F: Future<Output = Result<()>>,
@@ -131,7 +131,11 @@
     ExitCode::from(exit_code)
 }
 
-fn run_role<F>(settings: Settings, path: &Path, role: impl FnOnce(Rc<Control>) -> F) -> Result<()>
+fn run_role<F>(
+    settings: Settings,
+    path: &Path,
+    role: impl FnOnce(Rc<ControlPlane>) -> F,
+) -> Result<()>
 where
     F: Future<Output = Result<()>>,
 {
@@ -143,7 +147,7 @@
     )?;
     let runtime = compio::runtime::Runtime::new()?;
     runtime.block_on(async {
-        let control = Control::new(settings, metrics);
+        let control = ControlPlane::new(settings, metrics);
         let path = path.to_owned();
         let reloaded = control.clone();
         compio::runtime::spawn(async move { reload::run(reloaded, &path).await }).detach();
@@ -155,7 +159,7 @@
 }
 
 /// Opens the ports of control links and metrics, and starts the timers.
-async fn listen(control: &Rc<Control>, hooks: NodeHooks) -> Result<()> {
+async fn listen(control: &Rc<ControlPlane>, hooks: NodeHooks) -> Result<()> {
     let settings = &control.settings;
     let links = node_server::bind(settings.host, settings.control_port).await?;
     let metrics = TcpListener::bind((settings.host, settings.metrics_port)).await?;
@@ -167,12 +171,12 @@
 }
 
 /// Brings up what every daemon shares and returns when a configuration is in force.
-async fn start(control: &Rc<Control>, hooks: NodeHooks) -> Result<()> {
+async fn start(control: &Rc<ControlPlane>, hooks: NodeHooks) -> Result<()> {
     listen(control, hooks).await?;
-    let duty = ReaderDuty::new();
-    platform_reader::start(control, &duty).await;
-    subscribe(control, &duty);
-    compio::runtime::spawn(platform_reader::run(control.clone(), duty)).detach();
+    let reader_role = ReaderRole::new();
+    platform_reader::start(control, &reader_role).await;
+    subscribe(control, &reader_role);
+    compio::runtime::spawn(platform_reader::run(control.clone(), reader_role)).detach();
     log::info!(
         "event=serving revision={}",
         control.store.borrow().digest().highest
@@ -180,22 +184,22 @@
     Ok(())
 }
 
-fn subscribe(control: &Rc<Control>, duty: &Rc<ReaderDuty>) {
+fn subscribe(control: &Rc<ControlPlane>, reader_role: &Rc<ReaderRole>) {
     let compared = control.clone();
-    let duty = duty.clone();
+    let reader_role = reader_role.clone();
     control.timers.every(relay::COMPARE_PERIOD_MS, move || {
         let control = compared.clone();
-        let duty = duty.clone();
+        let reader_role = reader_role.clone();
         compio::runtime::spawn(async move {
             if relay::compare_once(&control).await {
-                duty.peer_answered(control.now_ms());
+                reader_role.record_peer_answer(control.now_ms());
             }
         })
         .detach();
     });
     let resumed = control.clone();
     control.timers.on_resume(move || {
-        resumed.peers.drop_all();
+        resumed.peers.drop_links();
         resumed.suspicion.borrow_mut().forget_all();
         let control = resumed.clone();
         compio::runtime::spawn(async move {
@@ -209,12 +213,12 @@
             let store = tidied.store.borrow();
             tidied
                 .peers
-                .retain(|host| store.hosts().get(host).is_some());
+                .retain_links(|host| store.hosts().get(host).is_some());
         }
     });
 }
 
-async fn serve_metrics(listener: TcpListener, control: Rc<Control>) {
+async fn serve_metrics(listener: TcpListener, control: Rc<ControlPlane>) {
     http_server::serve(listener, move |request| {
         let found = request.uri().path() == "/metrics";
         let text = if found {
--- a/src/programs/operator/remote.rs
+++ b/src/programs/operator/remote.rs
@@ -12,7 +12,7 @@
 use crate::config::platform;
 use crate::config::settings::Settings;
 use crate::error::{Error, Result};
-use crate::links::peers::Peers;
+use crate::links::peer_client::PeerClient;
 use crate::process::metrics::Metrics;
 use crate::programs::operator::host_states::HostStates;
 use crate::programs::operator::{StateOptions, StatusOptions, status};
@@ -23,9 +23,9 @@
     Settings::load(path.ok_or_else(missing)?)
 }
 
-fn peers_of(settings: &Settings) -> Peers {
+fn peers_of(settings: &Settings) -> PeerClient {
     let metrics = Rc::new(Metrics::default());
-    Peers::new(
+    PeerClient::new(
         Ipv4Addr::UNSPECIFIED,
         &settings.cluster_key,
         settings.control_port,
@@ -87,7 +87,7 @@
     Ok(states)
 }
 
-async fn read_hosts(peers: &Peers, hosts: Vec<Ipv4Addr>) -> HostStates {
+async fn read_hosts(peers: &PeerClient, hosts: Vec<Ipv4Addr>) -> HostStates {
     let read = |host| async move {
         let state = peers.state(host).await.and_then(|json| parse(&json));
         (host, state.ok())
--- a/src/quic/agent.rs
+++ b/src/quic/agent.rs
@@ -9,10 +9,10 @@
 use compio::quic::ServerConfig;
 use serde_json::{Value, json};
 
-use crate::config::sealed_id::{Purpose, SealedBytes, SealedId};
+use crate::config::sealed_id::{SealedBytes, SealedId, SealedIdKind};
 use crate::config::service_id::ServiceId;
-use crate::controllers::control::Control;
-use crate::controllers::relay::RevisionChaser;
+use crate::controllers::control_plane::ControlPlane;
+use crate::controllers::relay::RevisionPuller;
 use crate::error::Result;
 use crate::process::udp;
 use crate::quic::envelope::EnvelopeKey;
@@ -24,7 +24,7 @@
 
 /// An agent with its targets.
 pub(crate) struct Agent {
-    pub(crate) control: Rc<Control>,
+    pub(crate) control: Rc<ControlPlane>,
     pub(crate) targets: RefCell<Vec<Rc<Target>>>,
     pub(crate) ring: SharedRing,
     pub(crate) exchange_turn: Cell<usize>,
@@ -34,15 +34,15 @@
     pub(crate) socket: UdpSocket,
     pub(crate) flows: RefCell<Vec<Rc<FlowSocket>>>,
     pub(crate) return_path: RefCell<ReturnPath>,
-    pub(crate) chaser: RevisionChaser,
+    pub(crate) revision_puller: RevisionPuller,
 }
 
 impl Agent {
     /// Makes the agent and binds its datagram socket.
-    pub(crate) fn new(control: &Rc<Control>) -> Result<Rc<Self>> {
+    pub(crate) fn new(control: &Rc<ControlPlane>) -> Result<Rc<Self>> {
         let settings = &control.settings;
         let address = SocketAddr::from((settings.host, settings.datagram_port));
-        let ring = control.store.borrow().ring().clone();
+        let ring = control.store.borrow().key_ring().clone();
         Ok(Rc::new(Self {
             targets: RefCell::default(),
             ring: Arc::new(RwLock::new(ring)),
@@ -53,7 +53,7 @@
             socket: udp::bind(address)?,
             flows: RefCell::default(),
             return_path: RefCell::default(),
-            chaser: RevisionChaser::new(control),
+            revision_puller: RevisionPuller::new(control),
             control: control.clone(),
         }))
     }
@@ -74,7 +74,7 @@
     /// Opens a ticket for a request of `service`.
     pub(crate) fn open_ticket(&self, service: ServiceId, ticket: &[u8]) -> Option<SealedId> {
         let store = self.control.store.borrow();
-        SealedId::open(store.ring(), Purpose::Ticket, service, ticket)
+        SealedId::open(store.key_ring(), SealedIdKind::Ticket, service, ticket)
     }
 
     /// Issues a ticket of this incarnation.
@@ -86,7 +86,7 @@
             nonce: target.ledger.borrow_mut().issue()?,
         };
         let store = self.control.store.borrow();
-        Some(ticket.seal(store.ring(), Purpose::Ticket, rand::random()))
+        Some(ticket.seal(store.key_ring(), SealedIdKind::Ticket, rand::random()))
     }
 
     /// Tells whether a token or ticket was issued by this incarnation.
--- a/src/quic/agent_datagrams.rs
+++ b/src/quic/agent_datagrams.rs
@@ -7,7 +7,7 @@
 use compio::net::UdpSocket;
 
 use crate::code::Code;
-use crate::config::sealed_id::{Purpose, SealedId};
+use crate::config::sealed_id::{SealedId, SealedIdKind};
 use crate::config::service_id::ServiceId;
 use crate::decisions::admission::{Decision, Handed, Opener};
 use crate::error::{Error, Result};
@@ -77,7 +77,8 @@
         self.return_path
             .borrow_mut()
             .heard(envelope.balancer, now_ms);
-        self.chaser.saw(envelope.balancer, envelope.revision);
+        self.revision_puller
+            .observe(envelope.balancer, envelope.revision);
         let target = self.target(envelope.service);
         let unknown = || Error::new(Code::ServiceUnknown, envelope.service.to_string());
         let target = target.ok_or_else(unknown)?;
@@ -100,7 +101,7 @@
 
     fn token(&self, view: &PacketView<'_>, service: ServiceId) -> Option<SealedId> {
         let store = self.control.store.borrow();
-        SealedId::open(store.ring(), Purpose::Token, service, view.id)
+        SealedId::open(store.key_ring(), SealedIdKind::Token, service, view.id)
     }
 
     async fn take_opener(
--- a/src/quic/agent_run.rs
+++ b/src/quic/agent_run.rs
@@ -5,7 +5,7 @@
 
 use crate::config::config_store::{HOSTS_NAME, KEYS_NAME, TABLE_PREFIX};
 use crate::config::hosts::HostState;
-use crate::config::table::{Row, Table};
+use crate::config::table::{Table, TableRow};
 use crate::error::Result;
 use crate::quic::agent::Agent;
 use crate::quic::flow_socket::{FLOW_IDLE_MS, FlowSocket};
@@ -85,7 +85,7 @@
     }
 
     fn apply_keys(&self) {
-        let ring = self.control.store.borrow().ring().clone();
+        let ring = self.control.store.borrow().key_ring().clone();
         let mut held = self
             .ring
             .write()
@@ -118,7 +118,7 @@
         }
     }
 
-    fn own_rows(&self) -> Vec<(Table, Row)> {
+    fn own_rows(&self) -> Vec<(Table, TableRow)> {
         let store = self.control.store.borrow();
         let host = self.control.settings.host;
         let own = |table: &Table| Some((table.clone(), table.row_on(host)?.clone()));
@@ -131,7 +131,7 @@
         host.is_some_and(|host| host.state == HostState::Leaving)
     }
 
-    async fn add_target(self: &Rc<Self>, table: &Table, row: &Row) -> Result<()> {
+    async fn add_target(self: &Rc<Self>, table: &Table, row: &TableRow) -> Result<()> {
         let service = table.service_id();
         let (ring, host) = (self.ring.clone(), row.host);
         let incarnation = self.control.incarnation;
--- a/src/quic/balancer.rs
+++ b/src/quic/balancer.rs
@@ -14,9 +14,9 @@
 use crate::config::config_store::TABLE_PREFIX;
 use crate::config::revision::Revision;
 use crate::config::service_id::ServiceId;
-use crate::controllers::control::Control;
+use crate::controllers::control_plane::ControlPlane;
 use crate::controllers::node_server;
-use crate::controllers::relay::RevisionChaser;
+use crate::controllers::relay::RevisionPuller;
 use crate::error::Result;
 use crate::process::udp::{self, BUFFER_BYTES, MAX_PACKET_BYTES};
 use crate::quic::envelope::{ENVELOPE_BYTES, Envelope, EnvelopeKey, EnvelopeKind};
@@ -34,16 +34,16 @@
 }
 
 struct Balancer {
-    control: Rc<Control>,
+    control: Rc<ControlPlane>,
     key: EnvelopeKey,
     socket: UdpSocket,
     ports: RefCell<Vec<ServicePort>>,
     agents: RefCell<Vec<Ipv4Addr>>,
-    chaser: RevisionChaser,
+    revision_puller: RevisionPuller,
 }
 
 /// Runs a balancer until `stop` completes.
-pub(crate) async fn run(control: Rc<Control>, stop: impl Future<Output = ()>) -> Result<()> {
+pub(crate) async fn run(control: Rc<ControlPlane>, stop: impl Future<Output = ()>) -> Result<()> {
     let datagram_address =
         SocketAddr::from((control.settings.host, control.settings.datagram_port));
     let balancer = Rc::new(Balancer {
@@ -51,7 +51,7 @@
         socket: udp::bind(datagram_address)?,
         ports: RefCell::default(),
         agents: RefCell::default(),
-        chaser: RevisionChaser::new(&control),
+        revision_puller: RevisionPuller::new(&control),
         control: control.clone(),
     });
     balancer.sync_ports();
@@ -66,12 +66,12 @@
 }
 
 /// Returns what a balancer answers on control links.
-pub(crate) fn hooks(control: &Rc<Control>) -> node_server::NodeHooks {
+pub(crate) fn hooks(control: &Rc<ControlPlane>) -> node_server::NodeHooks {
     let control = control.clone();
     node_server::hooks_without_flows(move || state(&control))
 }
 
-fn state(control: &Control) -> Value {
+fn state(control: &ControlPlane) -> Value {
     let metrics = &control.metrics;
     let mut state = control.state("balancer");
     state["packets"] = metrics.packet_counts();
@@ -268,7 +268,7 @@
 
     fn note_agent(&self, host: Ipv4Addr, revision: Revision) {
         self.control.suspicion.borrow_mut().answered(host);
-        self.chaser.saw(host, revision);
+        self.revision_puller.observe(host, revision);
         let mut agents = self.agents.borrow_mut();
         if let Err(index) = agents.binary_search(&host) {
             agents.insert(index, host);
--- a/src/quic/move_request.rs
+++ b/src/quic/move_request.rs
@@ -7,8 +7,8 @@
 
 use crate::code::Code;
 use crate::decisions::load_board::LoadReport;
+use crate::links::peer_client::OfferReply;
 use crate::links::peer_request::{MAX_MOVED_BODY_BYTES, PeerAnswer, PeerRequest};
-use crate::links::peers::OfferReply;
 use crate::quic::answer::{Answer, AnswerBody};
 use crate::quic::backend;
 use crate::quic::local_run::WholeAnswer;
--- a/src/quic/steering.rs
+++ b/src/quic/steering.rs
@@ -4,7 +4,7 @@
 
 use crate::code::Code;
 use crate::config::config_store::ConfigStore;
-use crate::config::sealed_id::{Purpose, SealedId};
+use crate::config::sealed_id::{SealedId, SealedIdKind};
 use crate::config::service_id::ServiceId;
 use crate::decisions::placement;
 use crate::decisions::suspicion::Suspicion;
@@ -37,7 +37,7 @@
     now_ms: u64,
 ) -> Result<Route> {
     let view = packet::parse(datagram)?;
-    if let Some(token) = SealedId::open(store.ring(), Purpose::Token, service, view.id) {
+    if let Some(token) = SealedId::open(store.key_ring(), SealedIdKind::Token, service, view.id) {
         return Ok(Route {
             host: token.host,
             opens: false,
--- a/src/quic/target.rs
+++ b/src/quic/target.rs
@@ -8,7 +8,7 @@
 use serde_json::{Value, json};
 
 use crate::config::service_id::ServiceId;
-use crate::config::table::{Row, Table};
+use crate::config::table::{Table, TableRow};
 use crate::decisions::admission::Admission;
 use crate::decisions::ledger::{LEDGER_ENTRIES, Ledger};
 use crate::decisions::load_board::{LoadBoard, LoadReport};
@@ -47,7 +47,7 @@
 impl Target {
     pub(crate) fn new(
         table: &Table,
-        row: &Row,
+        row: &TableRow,
         endpoint: Endpoint,
         clock: Clock,
         incarnation: u32,
@@ -78,7 +78,7 @@
 
     /// Takes the limits of a changed row, or drains where the row is gone; says whether a drain
     /// began or ended.
-    pub(crate) fn apply(&self, row: Option<&Row>, host_leaves: bool) -> bool {
+    pub(crate) fn apply(&self, row: Option<&TableRow>, host_leaves: bool) -> bool {
         if let Some(row) = row {
             self.backend.set(row.backend);
             self.connections.set(row.connections);
@@ -155,7 +155,7 @@
     fn busy_peers(&self, table: &Table) -> (Vec<Ipv4Addr>, Vec<BusyStanding>) {
         let board = self.board.borrow();
         let now_ms = self.clock.now_ms();
-        let standing = |row: &Row| {
+        let standing = |row: &TableRow| {
             let report = board.fresh(row.host, now_ms)?.report;
             let weight = f64::from(row.weight) * f64::from(report.share_permille) / 1_000.0;
             let busy_slots = f64::from(report.busy_centislots) / 100.0;
--- a/src/quic/token_source.rs
+++ b/src/quic/token_source.rs
@@ -7,7 +7,7 @@
 use rand::Rng;
 
 use crate::config::keys::KeyRing;
-use crate::config::sealed_id::{Purpose, SEALED_ID_BYTES, SealedId};
+use crate::config::sealed_id::{SEALED_ID_BYTES, SealedId, SealedIdKind};
 use crate::config::service_id::ServiceId;
 
 /// The keys in force, shared with the endpoints.
@@ -34,7 +34,7 @@
             .ring
             .read()
             .unwrap_or_else(|poisoned| poisoned.into_inner());
-        ConnectionId::new(&token.seal(&ring, Purpose::Token, random.random()))
+        ConnectionId::new(&token.seal(&ring, SealedIdKind::Token, random.random()))
     }
 
     fn cid_len(&self) -> usize {
--- a/tests/allocations.rs
+++ b/tests/allocations.rs
@@ -6,7 +6,7 @@
 
 use common::{cluster_key, host, store, table_text};
 use endivedyke::{
-    Envelope, EnvelopeKey, EnvelopeKind, Purpose, SealedId, ServiceId, Suspicion, steer,
+    Envelope, EnvelopeKey, EnvelopeKind, SealedId, SealedIdKind, ServiceId, Suspicion, steer,
 };
 
 #[test]
@@ -14,7 +14,7 @@
     let text = table_text("panel-front", &[100; 12], 2_000);
     let store = store(&[("table/panel-front", 1, &text)]);
     let key = EnvelopeKey::new(&cluster_key());
-    let service = ServiceId::of("panel-front");
+    let service = ServiceId::from_name("panel-front");
     let token = SealedId {
         host: host(1),
         incarnation: 1,
@@ -22,7 +22,7 @@
         nonce: 1,
     };
     let mut short = vec![0x40];
-    short.extend_from_slice(&token.seal(store.ring(), Purpose::Token, [0; 3]));
+    short.extend_from_slice(&token.seal(store.key_ring(), SealedIdKind::Token, [0; 3]));
     short.resize(1_200, 0);
     let mut opener = vec![0xc0, 0, 0, 0, 1, 8, 1, 2, 3, 4, 5, 6, 7, 8];
     opener.resize(1_200, 0);
--- a/tests/hostile_input.rs
+++ b/tests/hostile_input.rs
@@ -7,14 +7,14 @@
 use common::cluster_key;
 use endivedyke::{
     ClusterKey, Code, Delta, ENVELOPE_BYTES, Envelope, EnvelopeKey, EnvelopeKind, HostList,
-    KeyRing, Purpose, SealedId, ServiceId, Settings, Suspicion, parse_packet, steer,
+    KeyRing, SealedId, SealedIdKind, ServiceId, Settings, Suspicion, parse_packet, steer,
 };
 use proptest::prelude::*;
 
 fn envelope() -> Envelope {
     Envelope {
         kind: EnvelopeKind::Inbound,
-        service: ServiceId::of("panel-front"),
+        service: ServiceId::from_name("panel-front"),
         caller: SocketAddr::from((Ipv4Addr::new(198, 51, 100, 7), 4433)),
         balancer: Ipv4Addr::new(10, 1, 0, 1),
         revision: 42.into(),
@@ -47,34 +47,34 @@
 #[test]
 fn a_token_opens_only_for_its_service_purpose_and_cluster() {
     let ring = KeyRing::initial(&cluster_key());
-    let service = ServiceId::of("panel-front");
+    let service = ServiceId::from_name("panel-front");
     let token = SealedId {
         host: Ipv4Addr::new(10, 0, 0, 1),
         incarnation: 77,
         service,
         nonce: 5,
     };
-    let bytes = token.seal(&ring, Purpose::Token, [1, 2, 3]);
+    let bytes = token.seal(&ring, SealedIdKind::Token, [1, 2, 3]);
     assert_eq!(
-        SealedId::open(&ring, Purpose::Token, service, &bytes),
+        SealedId::open(&ring, SealedIdKind::Token, service, &bytes),
         Some(token)
     );
-    let other_service = ServiceId::of("study-intake");
+    let other_service = ServiceId::from_name("study-intake");
     assert_eq!(
-        SealedId::open(&ring, Purpose::Token, other_service, &bytes),
+        SealedId::open(&ring, SealedIdKind::Token, other_service, &bytes),
         None
     );
     assert_eq!(
-        SealedId::open(&ring, Purpose::Ticket, service, &bytes),
+        SealedId::open(&ring, SealedIdKind::Ticket, service, &bytes),
         None
     );
     let other_ring = KeyRing::initial(&ClusterKey::new([8; 32]));
     assert_eq!(
-        SealedId::open(&other_ring, Purpose::Token, service, &bytes),
+        SealedId::open(&other_ring, SealedIdKind::Token, service, &bytes),
         None
     );
     assert_eq!(
-        SealedId::open(&ring, Purpose::Token, service, &bytes[..19]),
+        SealedId::open(&ring, SealedIdKind::Token, service, &bytes[..19]),
         None
     );
 }
@@ -86,24 +86,27 @@
     let before = ring("1,one,seal\n").expect("sound");
     let during = ring("1,one,open\n2,two,seal\n").expect("sound");
     let after = ring("2,two,seal\n").expect("sound");
-    let service = ServiceId::of("panel-front");
+    let service = ServiceId::from_name("panel-front");
     let token = SealedId {
         host: Ipv4Addr::new(10, 0, 0, 1),
         incarnation: 1,
         service,
         nonce: 1,
     };
-    let old = token.seal(&before, Purpose::Token, [0; 3]);
-    let new = token.seal(&during, Purpose::Token, [0; 3]);
+    let old = token.seal(&before, SealedIdKind::Token, [0; 3]);
+    let new = token.seal(&during, SealedIdKind::Token, [0; 3]);
     assert_eq!(
-        SealedId::open(&during, Purpose::Token, service, &old),
+        SealedId::open(&during, SealedIdKind::Token, service, &old),
         Some(token)
     );
     assert_eq!(
-        SealedId::open(&after, Purpose::Token, service, &new),
+        SealedId::open(&after, SealedIdKind::Token, service, &new),
         Some(token)
     );
-    assert_eq!(SealedId::open(&after, Purpose::Token, service, &old), None);
+    assert_eq!(
+        SealedId::open(&after, SealedIdKind::Token, service, &old),
+        None
+    );
     for bad in [
         "",
         "1,a,seal\n2,b,seal\n",
@@ -204,15 +207,15 @@
         let _ = EnvelopeKey::new(&cluster_key()).open(&datagram);
         let text = common::table_text("panel-front", &[1, 1], 9);
         let store = common::store(&[("table/panel-front", 1, &text)]);
-        let service = ServiceId::of("panel-front");
+        let service = ServiceId::from_name("panel-front");
         let _ = steer(&store, &Suspicion::default(), service, &datagram, 0);
     }
 
     #[test]
     fn any_token_bytes_are_refused(bytes in proptest::collection::vec(any::<u8>(), 0..24)) {
         let ring = KeyRing::initial(&cluster_key());
-        let service = ServiceId::of("panel-front");
-        prop_assert_eq!(SealedId::open(&ring, Purpose::Token, service, &bytes), None);
+        let service = ServiceId::from_name("panel-front");
+        prop_assert_eq!(SealedId::open(&ring, SealedIdKind::Token, service, &bytes), None);
     }
 
     #[test]
--- a/tests/local_facts.rs
+++ b/tests/local_facts.rs
@@ -6,8 +6,8 @@
 
 use common::{host, store, table_text};
 use endivedyke::{
-    ANSWER_TIMEOUT_MS, Code, KeyRing, PAUSE_MS, Purpose, RetryBudget, ReturnPath, SUSPICION_MS,
-    SealedId, ServiceId, Suspicion, TimerEvent, TimerService, owner, steer,
+    ANSWER_TIMEOUT_MS, Code, KeyRing, PAUSE_MS, RetryBudget, ReturnPath, SUSPICION_MS, SealedId,
+    SealedIdKind, ServiceId, Suspicion, TimerEvent, TimerService, owner, steer,
 };
 
 const SERVICE: &str = "panel-front";
@@ -24,7 +24,7 @@
 fn packets_go_to_the_token_and_openers_to_the_owner() {
     let text = table_text(SERVICE, &[100, 100, 100], 9);
     let store = store(&[("table/panel-front", 1, &text)]);
-    let service = ServiceId::of(SERVICE);
+    let service = ServiceId::from_name(SERVICE);
     let gone = Ipv4Addr::new(10, 9, 9, 9);
     let token = SealedId {
         host: gone,
@@ -32,7 +32,7 @@
         service,
         nonce: 1,
     };
-    let token = token.seal(store.ring(), Purpose::Token, [0; 3]);
+    let token = token.seal(store.key_ring(), SealedIdKind::Token, [0; 3]);
     let mut short = vec![0x40];
     short.extend_from_slice(&token);
     short.resize(60, 0);
@@ -52,7 +52,7 @@
     for (packet, code) in cases {
         assert_eq!(route(&packet).expect_err("dropped").code, code);
     }
-    let other = ServiceId::of("study-intake");
+    let other = ServiceId::from_name("study-intake");
     let crossed = steer(
         &store,
         &Suspicion::default(),
@@ -70,7 +70,7 @@
 fn a_silent_owner_is_passed_over_for_a_while() {
     let text = table_text(SERVICE, &[100, 100, 100], 9);
     let store = store(&[("table/panel-front", 1, &text)]);
-    let service = ServiceId::of(SERVICE);
+    let service = ServiceId::from_name(SERVICE);
     let mut suspicion = Suspicion::default();
     let choose = |suspicion: &Suspicion, now_ms| owner(&store, suspicion, service, 77, now_ms);
     let first = choose(&suspicion, 0).expect("an owner");
@@ -164,13 +164,13 @@
     let token = SealedId {
         host: host(0),
         incarnation: 1,
-        service: ServiceId::of(SERVICE),
+        service: ServiceId::from_name(SERVICE),
         nonce: 9,
     };
-    let sealed = token.seal(&KeyRing::initial(&key), Purpose::Ticket, [0; 3]);
+    let sealed = token.seal(&KeyRing::initial(&key), SealedIdKind::Ticket, [0; 3]);
     let opened = SealedId::open(
         &KeyRing::initial(&key),
-        Purpose::Ticket,
+        SealedIdKind::Ticket,
         token.service,
         &sealed,
     );
--- a/tests/opaque/builder.rs
+++ b/tests/opaque/builder.rs
@@ -5,7 +5,7 @@
 use endivedyke::opaque::{
     Action, Backend, BackendChange, BackendState, BackendValue, Directory, FlowKey, Forwarder,
     GONE_TEXT, Keeper, KeeperIdentity, Message, MessageKind, OpaqueMetrics, ROUTES_HEADER,
-    RouteTable, Scene, Segment, UnusableReason, WireFormat, backend_text, deadlines,
+    RouteTable, Scene, Segment, UnusableReason, WireFormat, backend_text, parse_deadlines,
     started_backend_text,
 };
 use endivedyke::{Code, Error, Result, Revision, ServiceId, Suspicion};
@@ -278,7 +278,7 @@
     KeeperIdentity {
         host: host(index),
         backend: backend_address(index),
-        service: ServiceId::of(SERVICE),
+        service: ServiceId::from_name(SERVICE),
         flow_lifetime_ms: FLOW_LIFETIME_MS,
     }
 }
@@ -477,7 +477,7 @@
 
 /// Tells that callers of [`CALLED`] have time for one attempt.
 pub(crate) fn tell_deadline(directory: &mut Directory) {
-    let told = deadlines(&format!("{CALLED},300,1500\n"));
+    let told = parse_deadlines(&format!("{CALLED},300,1500\n"));
     directory.set_deadlines(told.expect("sound"));
 }
 
@@ -510,7 +510,7 @@
 
 /// Returns the hosts whose backend servers take new flows.
 pub(crate) fn takers(directory: &Directory) -> Vec<Ipv4Addr> {
-    let table = directory.table(ServiceId::of(SERVICE));
+    let table = directory.table(ServiceId::from_name(SERVICE));
     let rows = table.map_or(&[][..], |table| &table.rows);
     let takers = rows.iter().filter(|row| row.weight > 0);
     takers.map(|row| row.host).collect()
--- a/tests/opaque/cold_starts.rs
+++ b/tests/opaque/cold_starts.rs
@@ -3,7 +3,8 @@
 use std::net::Ipv4Addr;
 
 use endivedyke::opaque::{
-    BackendState, Directory, Message, MessageKind, cold_backend_text, cold_start_line, cold_starts,
+    BackendState, Directory, Message, MessageKind, cold_backend_text, cold_start_line,
+    parse_cold_starts,
 };
 use endivedyke::{Code, ServiceId};
 
@@ -20,7 +21,7 @@
 
 fn tell_rate(directory: &mut Directory) {
     let text = cold_start_line(SERVICE, COLD_MS, FLOWS_PER_S);
-    directory.set_cold_starts(cold_starts(&text).expect("sound"));
+    directory.set_cold_starts(parse_cold_starts(&text).expect("sound"));
 }
 
 fn publish_cold(directory: &mut Directory, index: u16, now_ms: u64) {
@@ -162,20 +163,20 @@
         cold_start_line("b", 2_000, 12.5),
         cold_start_line("a", 500, 3.0)
     );
-    let starts = cold_starts(&text).expect("sound");
+    let starts = parse_cold_starts(&text).expect("sound");
     assert_eq!(starts.len(), 2);
     let b = starts
         .iter()
-        .find(|start| start.service == ServiceId::of("b"));
+        .find(|start| start.service == ServiceId::from_name("b"));
     let b = b.expect("there");
     assert_eq!((b.cold_ms, b.flows_per_s), (2_000, 12.5));
     for text in [
         "a", "a,1", "a,x,3", "a,1,0", "a,1,-2", "a,1,NaN", "a,1,inf", "\n",
     ] {
-        let code = cold_starts(text).map_err(|error| error.code);
+        let code = parse_cold_starts(text).map_err(|error| error.code);
         assert_eq!(code.err(), Some(Code::ColdStartSyntax), "{text:?}");
     }
-    assert!(cold_starts("").expect("none told").is_empty());
+    assert!(parse_cold_starts("").expect("none told").is_empty());
 }
 
 #[test]
--- a/tests/opaque/deadlines.rs
+++ b/tests/opaque/deadlines.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddrV4;
 
 use endivedyke::Code;
-use endivedyke::opaque::{Deadline, Directory, deadlines, deadlines_text};
+use endivedyke::opaque::{Deadline, Directory, deadlines_text, parse_deadlines};
 
 use crate::builder::CALLED;
 
@@ -30,7 +30,7 @@
         (0, 0, true),
     ] {
         let text = deadlines_text([deadline(objective_ms, timeout_ms)].into_iter());
-        let told = deadlines(&text).expect("sound");
+        let told = parse_deadlines(&text).expect("sound");
         assert_eq!(!told.is_empty(), is_told, "{objective_ms} of {timeout_ms}");
     }
 }
@@ -40,9 +40,9 @@
     let mut directory = Directory::default();
     assert_eq!(directory.deadline(called()), None);
     let text = deadlines_text([deadline(300, 1_500)].into_iter());
-    directory.set_deadlines(deadlines(&text).expect("sound"));
+    directory.set_deadlines(parse_deadlines(&text).expect("sound"));
     assert_eq!(directory.deadline(called()), Some(deadline(300, 1_500)));
-    directory.set_deadlines(deadlines("").expect("none told"));
+    directory.set_deadlines(parse_deadlines("").expect("none told"));
     assert_eq!(directory.deadline(called()), None);
 }
 
@@ -57,7 +57,7 @@
         "192.0.2.1,300,1500",
         "\n",
     ] {
-        let code = deadlines(text).map_err(|error| error.code);
+        let code = parse_deadlines(text).map_err(|error| error.code);
         assert_eq!(code.err(), Some(Code::DeadlineSyntax), "{text:?}");
     }
 }
--- a/tests/opaque/directory.rs
+++ b/tests/opaque/directory.rs
@@ -57,7 +57,7 @@
     directory.apply("i-new", backend, 50, 1_000);
     assert!(takers(&directory).is_empty());
     let own = directory.own(backend_address(1)).expect("published");
-    assert_eq!(own.service, ServiceId::of("scene-intake"));
+    assert_eq!(own.service, ServiceId::from_name("scene-intake"));
     // The old id reports once more, late: the address stays with the newer one.
     publish(
         &mut directory,
@@ -67,7 +67,7 @@
         1_100,
     );
     let own = directory.own(backend_address(1)).expect("published");
-    assert_eq!(own.service, ServiceId::of("scene-intake"));
+    assert_eq!(own.service, ServiceId::from_name("scene-intake"));
 }
 
 #[test]
--- a/tests/opaque/keeper.rs
+++ b/tests/opaque/keeper.rs
@@ -315,7 +315,7 @@
     let text = state_text(1, BackendState::Ready).replace(builder::SERVICE, "scene-intake");
     publish(&mut agent.directory, 1, &text, 9, 0);
     let own = KeeperIdentity {
-        service: ServiceId::of("scene-intake"),
+        service: ServiceId::from_name("scene-intake"),
         ..agent.identity()
     };
     agent.keeper = builder::keeper(own);
--- a/tests/opaque/message_bounds.rs
+++ b/tests/opaque/message_bounds.rs
@@ -103,7 +103,7 @@
 
     /// Returns the agent at a place in the order in which a flow is placed.
     fn agent_in_order(&self, key: &FlowKey, place: usize) -> Ipv4Addr {
-        let table = self.agents.directory.table(ServiceId::of(SERVICE));
+        let table = self.agents.directory.table(ServiceId::from_name(SERVICE));
         let table = table.expect("a service");
         endivedyke::ranked(table, key.hash(), |_| true)[place].host
     }
--- a/tests/opaque/mixed_objectives.rs
+++ b/tests/opaque/mixed_objectives.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddrV4;
 
-use endivedyke::opaque::{FlowKey, MessageKind, ROUTES_HEADER, RouteTable, deadlines};
+use endivedyke::opaque::{FlowKey, MessageKind, ROUTES_HEADER, RouteTable, parse_deadlines};
 
 use crate::builder::{
     ACK, AgentUnderTest, CALLED, PacketSpec, SERVICE, flow, from_backend, hosts_told, opener,
@@ -26,7 +26,7 @@
     );
     let routes = RouteTable::parse(&routes).expect("sound");
     agent.directory.set_routes(routes);
-    let told = deadlines(&format!("{CALLED},300,1500\n{other}")).expect("sound");
+    let told = parse_deadlines(&format!("{CALLED},300,1500\n{other}")).expect("sound");
     agent.directory.set_deadlines(told);
     agent
 }
--- a/tests/opaque/queue_model.rs
+++ b/tests/opaque/queue_model.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::Ipv4Addr;
 
-use endivedyke::opaque::{FlowKey, Forwarder, deadlines};
+use endivedyke::opaque::{FlowKey, Forwarder, parse_deadlines};
 use endivedyke::{ServiceId, ranked};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -66,7 +66,7 @@
         let text = format!("{CALLED},{},{}\n", plan.aim_ms, plan.timeout_ms);
         agents
             .directory
-            .set_deadlines(deadlines(&text).expect("sound"));
+            .set_deadlines(parse_deadlines(&text).expect("sound"));
     }
     agents
 }
@@ -300,7 +300,7 @@
         let table = self
             .agents
             .directory
-            .table(ServiceId::of(SERVICE))
+            .table(ServiceId::from_name(SERVICE))
             .expect("listed");
         let order = ranked(table, key.hash(), |_| true);
         let among = match self.policy {
--- a/tests/opaque/restored_platform.rs
+++ b/tests/opaque/restored_platform.rs
@@ -4,7 +4,7 @@
     BackendState, Batch, Published, ROUTES_HEADER, ROUTES_NAME, Restoration, RestorationStep,
     SETTLE_MS, news,
 };
-use endivedyke::{Acceptance, ClusterKey, ConfigStore, Revision, Stamp};
+use endivedyke::{AcceptOutcome, ClusterKey, ConfigStore, Revision, VersionStamp};
 use proptest::prelude::*;
 
 use crate::builder::{started_text, state_text};
@@ -17,8 +17,8 @@
     Revision::new(era, number).expect("small")
 }
 
-fn stamp(era: u64, number: u64, version: u64) -> Stamp {
-    Stamp {
+fn stamp(era: u64, number: u64, version: u64) -> VersionStamp {
+    VersionStamp {
         revision: revision(era, number),
         version,
     }
@@ -63,8 +63,8 @@
         (stamp(1, 4, 0), stamp(0, 18, 24), true),
         (stamp(0, 18, 24), stamp(1, 4, 0), false),
     ];
-    for (offered, held, is_after) in cases {
-        assert_eq!(offered.is_after(held), is_after, "{offered:?} {held:?}");
+    for (offered, held, supersedes) in cases {
+        assert_eq!(offered.supersedes(held), supersedes, "{offered:?} {held:?}");
     }
 }
 
@@ -76,11 +76,14 @@
     store.accept(ENTRY, 7, &draining).expect("sound");
     let copied = revision(1, 5);
     store.accept("other", revision(1, 4), "").expect("sound");
-    assert_eq!(store.accept(ENTRY, copied, &ready), Ok(Acceptance::Old));
-    store.settle(1);
     assert_eq!(
         store.accept(ENTRY, copied, &ready),
-        Ok(Acceptance::Accepted),
+        Ok(AcceptOutcome::Stale)
+    );
+    store.mark_era_settled(1);
+    assert_eq!(
+        store.accept(ENTRY, copied, &ready),
+        Ok(AcceptOutcome::Accepted),
         "what still stands there was written again"
     );
 }
@@ -93,7 +96,7 @@
     let ready = state_text(1, BackendState::Ready);
     assert_eq!(
         store.accept(ENTRY, revision(1, 5), &ready),
-        Ok(Acceptance::Old)
+        Ok(AcceptOutcome::Stale)
     );
 }
 
@@ -101,8 +104,8 @@
 fn a_server_that_left_before_the_return_stays_gone_and_one_that_lapsed_is_back() {
     let ready = state_text(1, BackendState::Ready);
     for (last, accepted) in [
-        (BackendState::Draining, Acceptance::Old),
-        (BackendState::Ready, Acceptance::Accepted),
+        (BackendState::Draining, AcceptOutcome::Stale),
+        (BackendState::Ready, AcceptOutcome::Accepted),
     ] {
         let mut store = store();
         store.accept(ENTRY, 7, &state_text(1, last)).expect("sound");
@@ -122,12 +125,12 @@
     let before = started_text(1, 100);
     assert_eq!(
         store.accept(ENTRY, revision(1, 5), &before),
-        Ok(Acceptance::Old)
+        Ok(AcceptOutcome::Stale)
     );
     let after = started_text(1, 300);
     assert_eq!(
         store.accept(ENTRY, revision(1, 6), &after),
-        Ok(Acceptance::Accepted)
+        Ok(AcceptOutcome::Accepted)
     );
 }
 
@@ -236,7 +239,7 @@
     let wanted = stores[from]
         .changes_since(Revision::ZERO)
         .iter()
-        .any(|(name, stamp)| stores[to].wants(name, *stamp));
+        .any(|(name, stamp)| stores[to].is_new_state(name, *stamp));
     let have = stores[to].revision(ROUTES_NAME);
     if let Some(update) = stores[from]
         .update_for(ROUTES_NAME, have)
--- a/tests/opaque/route_table.rs
+++ b/tests/opaque/route_table.rs
@@ -16,9 +16,9 @@
     let route = table
         .get("192.0.2.1:443".parse().expect("address"))
         .expect("route");
-    let services = (1..10_000).map(|port| route.service(flow(port).hash()));
+    let services = (1..10_000).map(|port| route.select_service(flow(port).hash()));
     let share = services
-        .filter(|service| *service == Some(ServiceId::of("b")))
+        .filter(|service| *service == Some(ServiceId::from_name("b")))
         .count();
     assert!((900..1_100).contains(&share), "{share}");
 }
@@ -26,7 +26,7 @@
 #[test]
 fn a_route_without_weight_takes_nothing() {
     let table = routes("192.0.2.1:443,a,0,2,yes\n").expect("sound");
-    assert_eq!(table.all()[0].service(1), None);
+    assert_eq!(table.all()[0].select_service(1), None);
 }
 
 #[test]
--- a/tests/opaque/stalls.rs
+++ b/tests/opaque/stalls.rs
@@ -1,6 +1,6 @@
 //! What an agent does while its backend server takes requests and serves none.
 
-use endivedyke::opaque::{Action, FlowKey, Message, MessageKind, deadlines};
+use endivedyke::opaque::{Action, FlowKey, Message, MessageKind, parse_deadlines};
 use endivedyke::{LOOK_MS, STALL_PROBE_MS, STALL_RAMP_MS};
 
 use crate::builder::{
@@ -85,7 +85,7 @@
         let text = format!("{CALLED},300,1500\n");
         agent
             .directory
-            .set_deadlines(deadlines(&text).expect("sound"));
+            .set_deadlines(parse_deadlines(&text).expect("sound"));
     }
     let mut callers = Vec::new();
     for port in IDLE {
--- a/tests/opaque/unusable_entries.rs
+++ b/tests/opaque/unusable_entries.rs
@@ -61,7 +61,7 @@
 #[test]
 fn a_service_that_operators_did_not_name_takes_nobody_s_address() {
     let mut directory = directory(2);
-    directory.set_services(vec![ServiceId::of(SERVICE)]);
+    directory.set_services(vec![ServiceId::from_name(SERVICE)]);
     for (id, text) in [
         ("i-at-an-address-in-use", state_text(1, BackendState::Ready)),
         ("i-at-a-host-of-its-own", state_text(9, BackendState::Ready)),
@@ -72,7 +72,7 @@
     assert_eq!(takers(&directory), [host(1), host(2)]);
     assert_eq!(directory.current_hosts(), [host(1), host(2)]);
     let own = directory.own(backend_address(1)).expect("published");
-    assert_eq!(own.service, ServiceId::of(SERVICE));
+    assert_eq!(own.service, ServiceId::from_name(SERVICE));
     assert_eq!(directory.host_list().all().len(), 2);
 }
 
@@ -81,7 +81,7 @@
     let mut directory = directory(2);
     directory.set_services(Vec::new());
     assert!(takers(&directory).is_empty());
-    directory.set_services(vec![ServiceId::of(SERVICE)]);
+    directory.set_services(vec![ServiceId::from_name(SERVICE)]);
     assert_eq!(takers(&directory), [host(1), host(2)]);
 }
 
--- a/tests/opaque/waiting.rs
+++ b/tests/opaque/waiting.rs
@@ -2,8 +2,8 @@
 //! something fails.
 
 use endivedyke::opaque::{
-    Action, BackendState, FlowKey, Message, MessageKind, ROUTES_HEADER, RouteTable, deadlines,
-    told_wait,
+    Action, BackendState, FlowKey, Message, MessageKind, ROUTES_HEADER, RouteTable,
+    parse_deadlines, told_wait,
 };
 
 use crate::builder::{
@@ -20,7 +20,7 @@
 fn agent() -> AgentUnderTest {
     let mut agent = AgentUnderTest::new(3, true);
     let text = format!("{CALLED},{OBJECTIVE_MS},{TIMEOUT_MS}\n");
-    let told = deadlines(&text).expect("sound");
+    let told = parse_deadlines(&text).expect("sound");
     agent.directory.set_deadlines(told);
     agent
 }
--- a/tests/revisions.rs
+++ b/tests/revisions.rs
@@ -4,7 +4,8 @@
 
 use common::{cluster_key, host, table_text};
 use endivedyke::{
-    Acceptance, Code, ConfigStore, Delta, HOSTS_HEADER, HostList, Revision, links, readers,
+    AcceptOutcome, Code, ConfigStore, Delta, HOSTS_HEADER, HostList, Revision, select_peers,
+    select_readers,
 };
 use proptest::prelude::*;
 
@@ -36,7 +37,7 @@
     let mut store = ConfigStore::new(&cluster_key());
     assert_eq!(
         store.accept(NAME, 4, &published(4)),
-        Ok(Acceptance::Accepted)
+        Ok(AcceptOutcome::Accepted)
     );
     let error = store.accept(NAME, 5, &published(5)).expect_err("unsound");
     assert_eq!(error.code, Code::TableAddress);
@@ -46,13 +47,16 @@
         Some(4)
     );
     assert!(
-        !store.wants(NAME, 5),
+        !store.is_new_state(NAME, 5),
         "a rejected revision is not asked for again"
     );
-    assert_eq!(store.accept(NAME, 3, &published(3)), Ok(Acceptance::Old));
+    assert_eq!(
+        store.accept(NAME, 3, &published(3)),
+        Ok(AcceptOutcome::Stale)
+    );
     assert_eq!(
         store.accept(NAME, 6, &published(6)),
-        Ok(Acceptance::Accepted)
+        Ok(AcceptOutcome::Accepted)
     );
 }
 
@@ -89,11 +93,11 @@
         text += &format!("{},zone-{},backend,live\n", host(index), index % 3);
     }
     let hosts = HostList::parse(&text).expect("sound");
-    let chosen = readers(&hosts, "zone-1", |_| true);
+    let chosen = select_readers(&hosts, "zone-1", |_| true);
     assert_eq!(chosen.len(), 3);
-    let without_first = readers(&hosts, "zone-1", |address| address != chosen[0]);
+    let without_first = select_readers(&hosts, "zone-1", |address| address != chosen[0]);
     assert_eq!(without_first[..2], chosen[1..], "the others stay readers");
-    let links = links(&hosts, host(0), |_| true);
+    let links = select_peers(&hosts, host(0), |_| true);
     assert_eq!(links.len(), 6);
     assert!(!links.contains(&host(0)));
 }
@@ -124,7 +128,7 @@
             let name = names[*which as usize];
             let value = if *which == 0 { text(revision as u32 + 1) } else { format!("{revision}\n") };
             let accepted = stores[*at].accept(name, revision as u64 + 1, &value);
-            prop_assert_eq!(accepted, Ok(Acceptance::Accepted));
+            prop_assert_eq!(accepted, Ok(AcceptOutcome::Accepted));
         }
         // Lost and doubled messages: any pairs tell any others, then one full round.
         let round = (0..4).flat_map(|from| (0..4).map(move |to| (from, to)));
