--- a/src/opaque/values/directory.rs
+++ b/src/opaque/values/directory.rs
@@ -230,7 +230,10 @@
 
     /// Returns the service that a flow goes to when it opens.
     pub(crate) fn service_for_flow(&self, flow: &FlowKey) -> Option<ServiceId> {
-        self.told.routes.get(flow.called)?.service(flow.hash())
+        self.told
+            .routes
+            .get(flow.called)?
+            .select_service(flow.hash())
     }
 
     /// Returns the table of the service that a flow goes to when it opens.
@@ -342,7 +345,7 @@
                 BackendState::Draining => HostState::Leaving,
             },
         });
-        HostList::of(hosts.collect())
+        HostList::from_hosts(hosts.collect())
     }
 
     fn rebuild(&mut self) {
--- a/src/opaque/values/value_sync.rs
+++ b/src/opaque/values/value_sync.rs
@@ -8,9 +8,9 @@
 use crate::code::Code;
 use crate::config::backend_entry::GONE_TEXT;
 use crate::config::hash;
+use crate::config::incoming_value::IncomingValue;
 use crate::config::revision::Revision;
-use crate::config::value_state::ValueState;
-use crate::controllers::control::Control;
+use crate::controllers::control_plane::ControlPlane;
 use crate::controllers::relay;
 use crate::error::Result;
 use crate::opaque::packets::message::{Message, UNKNOWN_AGE_MS, UNSETTLED_UNIT_MS};
@@ -42,7 +42,7 @@
 const MISSED_BEATS: u32 = 2;
 /// What a process knows of how new its values are.
 pub(crate) struct ValueSync {
-    control: Rc<Control>,
+    control: Rc<ControlPlane>,
     source: PlatformSource,
     freshness: RefCell<Freshness>,
     seen_revision: Cell<Revision>,
@@ -54,7 +54,7 @@
 }
 
 impl ValueSync {
-    pub(crate) fn new(control: &Rc<Control>, source: PlatformSource) -> Rc<Self> {
+    pub(crate) fn new(control: &Rc<ControlPlane>, source: PlatformSource) -> Rc<Self> {
         let settings = &control.settings;
         let is_seed = settings.seeds.contains(&settings.host);
         let startup_backoff = StartupBackoff::new(is_seed, control.now_ms());
@@ -255,7 +255,7 @@
             Some(RestorationEvent::Settled) => {
                 log::info!("event=platform_settled revision={highest}");
                 let era = self.restoration.borrow().era();
-                self.control.store.borrow_mut().settle(era);
+                self.control.store.borrow_mut().mark_era_settled(era);
                 // What was not believed until now is read again.
                 self.seen_revision.set(Revision::ZERO);
             }
@@ -287,7 +287,7 @@
             let store = self.control.store.borrow();
             new_values(&store, batch)
         };
-        let gone = vanished.iter().map(|name| ValueState {
+        let gone = vanished.iter().map(|name| IncomingValue {
             name,
             stamp: batch.revision.into(),
             text: GONE_TEXT,
--- a/tests/opaque/directory.rs
+++ b/tests/opaque/directory.rs
@@ -59,7 +59,7 @@
     let own = directory
         .local_backend(backend_address(1))
         .expect("published");
-    assert_eq!(own.service, ServiceId::of("scene-intake"));
+    assert_eq!(own.service, ServiceId::from_name("scene-intake"));
     // The old id reports once more, late: the address stays with the newer one.
     publish(
         &mut directory,
@@ -71,7 +71,7 @@
     let own = directory
         .local_backend(backend_address(1))
         .expect("published");
-    assert_eq!(own.service, ServiceId::of("scene-intake"));
+    assert_eq!(own.service, ServiceId::from_name("scene-intake"));
 }
 
 #[test]
