--- a/src/opaque/finding/flow.rs
+++ b/src/opaque/flows/flow.rs
@@ -11,20 +11,20 @@
 /// How long a request without an answer counts as work, in milliseconds: callers of the users' short
 /// requests give up after 2.5 to 3 seconds. One of a backend server that swallowed it would otherwise
 /// hold its place for as long as a flow lives.
-pub(crate) const ABANDONED_MS: u64 = 3_000;
+pub(crate) const REQUEST_BUSY_TIMEOUT_MS: u64 = 3_000;
 /// How long a taken opener counts as a request before its caller has sent one, in milliseconds.
-pub(crate) const EXPECTED_MS: u64 = 500;
+pub(crate) const OPENER_BUSY_TIMEOUT_MS: u64 = 500;
 /// The same where callers have time for one attempt only, in milliseconds: some round trips between a caller and its
 /// backend server. Many openers of a rush come from callers that have left, and would hold slots for nothing.
-pub(crate) const EXPECTED_SOON_MS: u64 = 60;
+pub(crate) const DEADLINE_OPENER_BUSY_TIMEOUT_MS: u64 = 60;
 
 /// Where a flow is, as far as the agent knows.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum Holding {
+pub(crate) enum FlowState {
     /// The backend server was handed the opener; whether the flow opens here is the caller's choice.
-    Opening(Opening),
+    Opening(PendingOpener),
     /// The backend server was handed a packet of it and may still return it.
-    Unconfirmed { since_ms: u64, origin: Origin },
+    Unconfirmed { since_ms: u64, source: PacketSource },
     /// It is open here.
     Open,
     /// Another agent said that it holds it.
@@ -35,18 +35,18 @@
 
 /// Who sent a packet of a flow that the agent does not know.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Origin {
+pub(crate) enum PacketSource {
     /// A balancer that does not know where the flow opened.
     Balancer,
     /// A balancer that was told that the flow opened here.
-    OpenedHere,
+    BalancerKnowsOpened,
     /// An agent that asks who holds the flow.
-    Asker(Ipv4Addr),
+    AskingAgent(Ipv4Addr),
 }
 
 /// An opener that the backend server has.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Opening {
+pub(crate) struct PendingOpener {
     pub(crate) since_ms: u64,
     pub(crate) packet: Vec<u8>,
     pub(crate) balancer: Ipv4Addr,
@@ -55,32 +55,32 @@
     /// For how long its caller had waited before the first copy, as far as known, in milliseconds.
     pub(crate) waited_ms: u16,
     /// How long it counts as a request before its caller has sent one, in milliseconds.
-    pub(crate) expected_ms: u64,
-    pub(crate) answered: bool,
+    pub(crate) busy_timeout_ms: u64,
+    pub(crate) is_answered: bool,
     pub(crate) backend_sequence: u32,
 }
 
 /// A request that the backend server has not begun to answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Running {
+pub(crate) struct RunningRequest {
     /// The caller's name for it, where its packet showed one.
     pub(crate) id: String,
     /// When its last new data came.
     pub(crate) since_ms: u64,
     /// Whether it was noted as one that takes too long.
-    pub(crate) overdue: bool,
+    pub(crate) is_overdue: bool,
     /// For how long it counts as work, in milliseconds.
-    pub(crate) counts_ms: u64,
+    pub(crate) busy_timeout_ms: u64,
 }
 
-impl Running {
+impl RunningRequest {
     /// Notes a request that is handed over now.
-    pub(crate) fn new(id: Option<&str>, counts_ms: u64, now_ms: u64) -> Self {
+    pub(crate) fn new(id: Option<&str>, busy_timeout_ms: u64, now_ms: u64) -> Self {
         Self {
             id: id.unwrap_or("unknown").to_owned(),
             since_ms: now_ms,
-            overdue: false,
-            counts_ms,
+            is_overdue: false,
+            busy_timeout_ms,
         }
     }
 }
@@ -88,85 +88,85 @@
 /// One flow.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Flow {
-    pub(crate) holding: Holding,
+    pub(crate) state: FlowState,
     /// Since when it is known here.
     pub(crate) since_ms: u64,
-    pub(crate) seen_ms: u64,
+    pub(crate) last_seen_ms: u64,
     /// The next number that the caller expects, which a reset must fit.
     pub(crate) caller_acknowledgement: u32,
-    pub(crate) running: Option<Running>,
-    pub(crate) closed: bool,
+    pub(crate) running: Option<RunningRequest>,
+    pub(crate) is_closed: bool,
     /// Whether the backend server showed that it holds the flow; silence shows nothing.
-    pub(crate) shown: bool,
+    pub(crate) is_confirmed: bool,
     /// The number after the last byte that the caller sent, where one was seen.
-    pub(crate) caller_next: Option<u32>,
+    pub(crate) caller_next_sequence: Option<u32>,
     /// The next number that the backend server expects, where it said so: copies of what is before it are no request.
-    pub(crate) acknowledged: Option<u32>,
+    pub(crate) backend_acknowledgement: Option<u32>,
     /// The number after the last byte that the backend server sent, where one was seen.
-    pub(crate) backend_next: Option<u32>,
+    pub(crate) backend_next_sequence: Option<u32>,
     /// Whether a request came in several packets, or one behind another: which of them an answer ends can't be told.
-    pub(crate) mixes_requests: bool,
+    pub(crate) has_ambiguous_requests: bool,
     /// Whether the last packet of the backend server may be followed by more of the same answer.
-    pub(crate) answer_goes_on: bool,
+    pub(crate) may_continue_answer: bool,
     /// Whether its caller was told that it has ended, while its backend server still holds it.
-    pub(crate) told_ended: bool,
+    pub(crate) is_end_sent: bool,
     /// Whether its caller ended it while a request was running.
-    pub(crate) caller_left: bool,
+    pub(crate) has_caller_left: bool,
     /// Which balancer was told last that the flow has opened here, and when.
-    pub(crate) told_opened: Option<(Ipv4Addr, u64)>,
+    pub(crate) last_opened_notice: Option<(Ipv4Addr, u64)>,
 }
 
 impl Flow {
-    pub(crate) fn new(holding: Holding, now_ms: u64) -> Self {
+    pub(crate) fn new(state: FlowState, now_ms: u64) -> Self {
         Self {
-            holding,
+            state,
             since_ms: now_ms,
-            seen_ms: now_ms,
+            last_seen_ms: now_ms,
             caller_acknowledgement: 0,
             running: None,
-            closed: false,
-            shown: false,
-            caller_next: None,
-            acknowledged: None,
-            backend_next: None,
-            mixes_requests: false,
-            answer_goes_on: false,
-            told_ended: false,
-            caller_left: false,
-            told_opened: None,
+            is_closed: false,
+            is_confirmed: false,
+            caller_next_sequence: None,
+            backend_acknowledgement: None,
+            backend_next_sequence: None,
+            has_ambiguous_requests: false,
+            may_continue_answer: false,
+            is_end_sent: false,
+            has_caller_left: false,
+            last_opened_notice: None,
         }
     }
 
     /// Tells whether a packet of the caller brings data that was not seen before.
-    pub(crate) fn takes_new_data(&mut self, segment: &Segment) -> bool {
+    pub(crate) fn record_new_data(&mut self, segment: &Segment) -> bool {
         let end = segment.end_sequence();
         let comes_after = |next: Option<u32>| next.is_none_or(|next| is_after(end, next));
         let is_new = segment.payload_bytes > 0
-            && comes_after(self.caller_next)
-            && comes_after(self.acknowledged);
+            && comes_after(self.caller_next_sequence)
+            && comes_after(self.backend_acknowledgement);
         if is_new {
-            self.caller_next = Some(end);
+            self.caller_next_sequence = Some(end);
         }
         is_new
     }
 
     /// Notes that the backend server has everything of the caller before this number.
-    pub(crate) fn note_acknowledged(&mut self, next: u32) {
-        if self.acknowledged.is_none_or(|known| is_after(next, known)) {
-            self.acknowledged = Some(next);
+    pub(crate) fn record_acknowledgement(&mut self, next: u32) {
+        if self.backend_acknowledgement.is_none_or(|known| is_after(next, known)) {
+            self.backend_acknowledgement = Some(next);
         }
     }
 
     /// Tells whether a packet of the backend server shows that an answer has begun: it carries data, or
     /// ends the flow behind data that was overtaken on its way.
-    pub(crate) fn takes_answer(&mut self, segment: &Segment) -> bool {
+    pub(crate) fn record_answer(&mut self, segment: &Segment) -> bool {
         let overtook = segment.ends
             && self
-                .backend_next
+                .backend_next_sequence
                 .is_none_or(|next| is_after(segment.sequence, next));
         let end = segment.end_sequence().wrapping_add(segment.accepts.into());
-        if self.backend_next.is_none_or(|next| is_after(end, next)) {
-            self.backend_next = Some(end);
+        if self.backend_next_sequence.is_none_or(|next| is_after(end, next)) {
+            self.backend_next_sequence = Some(end);
         }
         segment.payload_bytes > 0 || overtook
     }
@@ -174,31 +174,31 @@
     /// Tells whether it carries no request, which shows only once one was answered under the agent's eyes and its
     /// caller has acknowledged the answer.
     pub(super) fn is_idle(&self) -> bool {
-        let acknowledged = self.backend_next == Some(self.caller_acknowledgement);
-        let is_clear = !self.mixes_requests && !self.answer_goes_on;
-        let was_answered = self.caller_next.is_some() && self.running.is_none() && acknowledged;
-        self.is_open() && self.shown && was_answered && is_clear
+        let acknowledged = self.backend_next_sequence == Some(self.caller_acknowledgement);
+        let is_clear = !self.has_ambiguous_requests && !self.may_continue_answer;
+        let was_answered = self.caller_next_sequence.is_some() && self.running.is_none() && acknowledged;
+        self.is_open() && self.is_confirmed && was_answered && is_clear
     }
 
     /// Tells whether the backend server showed that the flow has opened there, and nowhere else.
     pub(crate) fn has_opened(&self) -> bool {
-        self.is_open() && self.shown
+        self.is_open() && self.is_confirmed
     }
 
     /// Tells whether the flow is open at the backend server.
     pub(super) fn is_open(&self) -> bool {
-        self.holding == Holding::Open && !self.closed
+        self.state == FlowState::Open && !self.is_closed
     }
 
     /// Notes a request that takes too long; says so once.
-    pub(super) fn became_overdue(&mut self, key: &FlowKey, now_ms: u64) -> bool {
-        let Some(running) = self.running.as_mut().filter(|_| !self.closed) else {
+    pub(super) fn mark_overdue(&mut self, key: &FlowKey, now_ms: u64) -> bool {
+        let Some(running) = self.running.as_mut().filter(|_| !self.is_closed) else {
             return false;
         };
-        if running.overdue || now_ms < running.since_ms + OVERDUE_MS {
+        if running.is_overdue || now_ms < running.since_ms + OVERDUE_MS {
             return false;
         }
-        running.overdue = true;
+        running.is_overdue = true;
         log::warn!(
             "event=request_overdue request={} flow={key} waited_ms={}",
             running.id,
@@ -209,10 +209,10 @@
 
     /// Tells whether it takes or will soon take a slot there.
     pub(super) fn is_busy(&self, now_ms: u64) -> bool {
-        match &self.holding {
-            Holding::Opening(opening) => now_ms < opening.since_ms + opening.expected_ms,
+        match &self.state {
+            FlowState::Opening(opening) => now_ms < opening.since_ms + opening.busy_timeout_ms,
             _ => {
-                let waits = |running: &Running| now_ms < running.since_ms + running.counts_ms;
+                let waits = |running: &RunningRequest| now_ms < running.since_ms + running.busy_timeout_ms;
                 self.is_open() && self.running.as_ref().is_some_and(waits)
             }
         }
--- a/src/opaque/finding/flow_search.rs
+++ b/src/opaque/flows/flow_search.rs
@@ -9,7 +9,7 @@
 use std::net::Ipv4Addr;
 
 use crate::decisions::placement;
-use crate::opaque::finding::flow_map::FlowMap;
+use crate::opaque::flows::flow_map::FlowMap;
 use crate::opaque::packets::segment::FlowKey;
 
 /// To how many agents the first copy of a packet is shown. They are the first in the order in which flows are placed,
@@ -59,18 +59,18 @@
     }
 
     /// Returns the number of agents heard of.
-    pub fn known(&self) -> usize {
+    pub fn agent_count(&self) -> usize {
         self.agents.len()
     }
 
     /// Notes that an agent greeted this process.
-    pub fn greeted(&mut self, host: Ipv4Addr, now_ms: u64) {
-        if let Some(agent) = self.heard(host, now_ms) {
+    pub fn record_greeting(&mut self, host: Ipv4Addr, now_ms: u64) {
+        if let Some(agent) = self.record_agent(host, now_ms) {
             agent.greeted_ms = Some(now_ms);
         }
     }
 
-    fn heard(&mut self, host: Ipv4Addr, now_ms: u64) -> Option<&mut RunningAgent> {
+    fn record_agent(&mut self, host: Ipv4Addr, now_ms: u64) -> Option<&mut RunningAgent> {
         let found = self.agents.binary_search_by_key(&host, |agent| agent.host);
         let index = match found {
             Ok(index) => index,
@@ -91,9 +91,9 @@
     }
 
     /// Notes the agents of which another balancer has heard.
-    pub fn heard_list(&mut self, list: &[u8], now_ms: u64) {
+    pub fn record_agents(&mut self, list: &[u8], now_ms: u64) {
         for bytes in list.chunks_exact(ADDRESS_BYTES).take(TOLD_AT_ONCE) {
-            self.heard(
+            self.record_agent(
                 Ipv4Addr::new(bytes[0], bytes[1], bytes[2], bytes[3]),
                 now_ms,
             );
@@ -104,7 +104,7 @@
     /// other.
     ///
     /// Those that it was told of are left out: two balancers would tell each other of a dead agent for ever.
-    pub fn list(&self, now_ms: u64) -> Vec<u8> {
+    pub fn agent_list(&self, now_ms: u64) -> Vec<u8> {
         let is_recent = |agent: &&RunningAgent| {
             let greeted_ms = agent.greeted_ms;
             greeted_ms.is_some_and(|greeted_ms| now_ms < greeted_ms + HEARD_MS)
--- a/src/opaque/finding/flow_book.rs
+++ b/src/opaque/flows/flow_table.rs
@@ -1,8 +1,8 @@
 //! What an agent knows of the flows of its backend server, and how much work they are.
 
-use crate::opaque::finding::flow::{Flow, Holding};
-use crate::opaque::finding::flow_map::FlowMap;
-use crate::opaque::finding::remains::{EndedFlow, Remains};
+use crate::opaque::flows::flow::{Flow, FlowState};
+use crate::opaque::flows::flow_map::FlowMap;
+use crate::opaque::flows::orphaned_flows::{EndedFlow, OrphanedFlows};
 use crate::opaque::packets::segment::FlowKey;
 use crate::process::opaque_metrics::OpaqueMetrics;
 
@@ -17,7 +17,7 @@
 
 /// The flows of one agent, with counts of the open ones and of the requests that run.
 #[derive(Debug)]
-pub(crate) struct FlowBook {
+pub(crate) struct FlowTable {
     flows: FlowMap<Flow>,
     metrics: OpaqueMetrics,
     lifetime_ms: u64,
@@ -26,7 +26,7 @@
     counted_ms: u64,
 }
 
-impl FlowBook {
+impl FlowTable {
     /// Makes a book without flows; one without a packet for `lifetime_ms` is forgotten.
     pub(crate) fn new(metrics: &OpaqueMetrics, lifetime_ms: u64) -> Self {
         Self {
@@ -40,20 +40,20 @@
     }
 
     /// Returns the requests that run or wait at the backend server.
-    pub(crate) fn busy(&self) -> u32 {
+    pub(crate) fn busy_requests(&self) -> u32 {
         self.busy
     }
 
     /// Returns the same, without what counted as a request until a moment ago and does no more.
-    pub(crate) fn busy_now(&mut self, now_ms: u64) -> u32 {
+    pub(crate) fn fresh_busy_requests(&mut self, now_ms: u64) -> u32 {
         if now_ms >= self.counted_ms + COUNT_MAX_AGE_MS {
-            self.count_anew(now_ms);
+            self.recount(now_ms);
         }
         self.busy
     }
 
     /// Returns the flows open there.
-    pub(crate) fn open(&self) -> u32 {
+    pub(crate) fn open_flows(&self) -> u32 {
         self.open
     }
 
@@ -95,23 +95,23 @@
     }
 
     /// Takes out everything that a backend server held which has ended before `end_ms`.
-    pub(crate) fn take_remains(&mut self, end_ms: u64, now_ms: u64) -> Remains {
-        let mut remains = Remains::default();
+    pub(crate) fn take_orphaned(&mut self, end_ms: u64, now_ms: u64) -> OrphanedFlows {
+        let mut orphaned = OrphanedFlows::default();
         self.flows.retain(|key, flow| {
             if flow.since_ms >= end_ms {
                 return true;
             }
-            match &flow.holding {
-                Holding::Elsewhere(_) | Holding::Absent => return true,
-                Holding::Opening(opening) if !flow.closed => {
-                    remains.openers.push((*key, opening.clone()));
+            match &flow.state {
+                FlowState::Elsewhere(_) | FlowState::Absent => return true,
+                FlowState::Opening(opening) if !flow.is_closed => {
+                    orphaned.openers.push((*key, opening.clone()));
                 }
                 // Another backend server may hold what this one never showed.
-                Holding::Open if flow.shown && !flow.closed => remains.flows.push(EndedFlow {
+                FlowState::Open if flow.is_confirmed && !flow.is_closed => orphaned.flows.push(EndedFlow {
                     key: *key,
                     acknowledgement: flow.caller_acknowledgement,
                 }),
-                Holding::Open | Holding::Opening(_) | Holding::Unconfirmed { .. } => {}
+                FlowState::Open | FlowState::Opening(_) | FlowState::Unconfirmed { .. } => {}
             }
             if let Some(running) = &flow.running {
                 self.metrics.requests_lost.inc();
@@ -123,8 +123,8 @@
             }
             false
         });
-        self.count_anew(now_ms);
-        remains
+        self.recount(now_ms);
+        orphaned
     }
 
     /// Returns at most `most` flows without a request, out of those that `may_end`, whose callers are to be told
@@ -136,8 +136,8 @@
     ) -> Vec<EndedFlow> {
         let mut ended = Vec::new();
         self.flows.retain(|key, flow| {
-            if ended.len() < most && !flow.told_ended && flow.is_idle() && may_end(key) {
-                flow.told_ended = true;
+            if ended.len() < most && !flow.is_end_sent && flow.is_idle() && may_end(key) {
+                flow.is_end_sent = true;
                 ended.push(EndedFlow {
                     key: *key,
                     acknowledgement: flow.caller_acknowledgement,
@@ -154,10 +154,10 @@
         let (mut open, mut busy, mut overdue) = (0, 0, 0);
         let lifetime_ms = self.lifetime_ms;
         self.flows.retain(|key, flow| {
-            let kept_ms = if flow.closed { CLOSED_MS } else { lifetime_ms };
-            let keeps = now_ms < flow.seen_ms + kept_ms;
+            let kept_ms = if flow.is_closed { CLOSED_MS } else { lifetime_ms };
+            let keeps = now_ms < flow.last_seen_ms + kept_ms;
             if keeps {
-                overdue += u32::from(flow.became_overdue(key, now_ms));
+                overdue += u32::from(flow.mark_overdue(key, now_ms));
                 open += u32::from(flow.is_open());
                 busy += u32::from(flow.is_busy(now_ms));
             } else if let Some(running) = &flow.running {
@@ -171,11 +171,11 @@
         });
         (self.open, self.busy) = (open, busy);
         self.counted_ms = now_ms;
-        self.show();
+        self.update_metrics();
         overdue
     }
 
-    fn count_anew(&mut self, now_ms: u64) {
+    fn recount(&mut self, now_ms: u64) {
         let (mut open, mut busy) = (0, 0);
         self.flows.retain(|_, flow| {
             open += u32::from(flow.is_open());
@@ -184,7 +184,7 @@
         });
         (self.open, self.busy) = (open, busy);
         self.counted_ms = now_ms;
-        self.show();
+        self.update_metrics();
     }
 
     fn count(&mut self, open: bool, busy: bool, sign: i32) {
@@ -192,7 +192,7 @@
         self.busy = self.busy.saturating_add_signed(i32::from(busy) * sign);
     }
 
-    fn show(&self) {
+    fn update_metrics(&self) {
         self.metrics.flows_open.set(i64::from(self.open));
         self.metrics.requests_busy.set(i64::from(self.busy));
     }
--- a/src/opaque/finding/lookup.rs
+++ b/src/opaque/flows/lookup.rs
@@ -22,7 +22,7 @@
 const NEAR_ASKED: usize = 64;
 /// How many agents are asked first, where there are more than twice as many: a flow stands with one of the
 /// eight that were first in its order, or with one of the eight to which those may pass an opener.
-pub(crate) const FIRST_ASKED: usize = 16;
+pub(crate) const FIRST_QUERIED: usize = 16;
 /// How long the first ones have before all others are asked too, in milliseconds: several round trips
 /// between availability zones.
 const WIDEN_MS: u64 = 20;
@@ -31,11 +31,11 @@
 
 /// What the answers so far show.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum LookupOutcome {
     /// Somebody has not answered, or knows more than this agent does.
-    Open,
+    Pending,
     /// Every agent said that its backend server does not hold the flow.
-    Nowhere {
+    NotHeld {
         /// The next number that the caller expects.
         acknowledgement: u32,
     },
@@ -58,7 +58,7 @@
 
 /// A packet of a flow that its agent does not know.
 #[derive(Debug, Clone, Copy)]
-pub struct Question<'a> {
+pub struct LookupPacket<'a> {
     /// What stands in its header.
     pub segment: &'a Segment,
     /// The packet.
@@ -69,7 +69,7 @@
 
 /// A question that took too long.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct GivenUp {
+pub(crate) struct GivenUpLookup {
     pub(crate) flow: FlowKey,
     /// Who did not answer.
     pub(crate) unanswered: Vec<Ipv4Addr>,
@@ -82,7 +82,7 @@
 pub struct Lookups {
     metrics: OpaqueMetrics,
     open: Vec<Lookup>,
-    given_up: Vec<GivenUp>,
+    given_up: Vec<GivenUpLookup>,
     own_host: Option<Ipv4Addr>,
 }
 
@@ -105,7 +105,7 @@
         directory: &Directory,
         own_host: Ipv4Addr,
         likely: impl FnOnce() -> Vec<Ipv4Addr>,
-        question: &Question<'_>,
+        question: &LookupPacket<'_>,
         now_ms: u64,
     ) -> Vec<Ipv4Addr> {
         let segment = question.segment;
@@ -132,7 +132,7 @@
                     repeats: 0,
                 };
                 let mut asked = unanswered(&lookup, directory, own_host);
-                if asked.len() > 2 * FIRST_ASKED {
+                if asked.len() > 2 * FIRST_QUERIED {
                     asked = likely();
                     lookup.ask_ms = now_ms + WIDEN_MS;
                 }
@@ -144,7 +144,7 @@
     }
 
     /// Notes that an agent does not hold the flow, and the highest revision that it knows.
-    pub fn absent(&mut self, flow: &FlowKey, host: Ipv4Addr, revision: impl Into<Revision>) {
+    pub fn record_absent(&mut self, flow: &FlowKey, host: Ipv4Addr, revision: impl Into<Revision>) {
         let Ok(index) = self.position(flow) else {
             return;
         };
@@ -156,14 +156,14 @@
     }
 
     /// Ends a question whose answer is known, and returns it.
-    pub(crate) fn found(&mut self, flow: &FlowKey) -> Option<Lookup> {
+    pub(crate) fn finish(&mut self, flow: &FlowKey) -> Option<Lookup> {
         let lookup = self.take(flow)?;
         self.metrics.lookups_found.inc();
         Some(lookup)
     }
 
     /// Drops a question.
-    pub fn forget(&mut self, flow: &FlowKey) {
+    pub fn cancel(&mut self, flow: &FlowKey) {
         self.take(flow);
     }
 
@@ -173,7 +173,7 @@
     }
 
     /// Returns the flows about which a question is open.
-    pub(crate) fn flows(&self) -> Vec<FlowKey> {
+    pub(crate) fn pending_flows(&self) -> Vec<FlowKey> {
         self.open.iter().map(|lookup| lookup.flow).collect()
     }
 
@@ -185,27 +185,27 @@
     /// Judges the answers: only the word of every agent proves that a flow is nowhere.
     ///
     /// An agent that knows a higher revision may know of a backend server that this one does not.
-    pub fn verdict(
+    pub fn outcome(
         &self,
         flow: &FlowKey,
         directory: &Directory,
         revision: impl Into<Revision>,
-    ) -> Verdict {
+    ) -> LookupOutcome {
         let (Ok(index), Some(own_host)) = (self.position(flow), self.own_host) else {
-            return Verdict::Open;
+            return LookupOutcome::Pending;
         };
         let lookup = &self.open[index];
         let all_answered = unanswered(lookup, directory, own_host).is_empty();
         if all_answered && lookup.newest_revision <= revision.into() {
-            return Verdict::Nowhere {
+            return LookupOutcome::NotHeld {
                 acknowledgement: lookup.acknowledgement,
             };
         }
-        Verdict::Open
+        LookupOutcome::Pending
     }
 
     /// Returns whom to ask again with which packet, and drops questions that took too long.
-    pub fn due(&mut self, directory: &Directory, now_ms: u64) -> Vec<(Ipv4Addr, Vec<u8>)> {
+    pub fn due_queries(&mut self, directory: &Directory, now_ms: u64) -> Vec<(Ipv4Addr, Vec<u8>)> {
         let Some(own_host) = self.own_host else {
             return Vec::new();
         };
@@ -213,7 +213,7 @@
             let goes_on = now_ms < lookup.started_ms + GIVE_UP_MS;
             if !goes_on {
                 self.metrics.lookups_given_up.inc();
-                self.given_up.push(GivenUp {
+                self.given_up.push(GivenUpLookup {
                     flow: lookup.flow,
                     unanswered: unanswered(lookup, directory, own_host),
                     newest_revision: lookup.newest_revision,
@@ -231,7 +231,7 @@
             let doublings = if has_deadline { lookup.repeats } else { 0 };
             lookup.ask_ms = now_ms + (ASK_AGAIN_MS << doublings);
             lookup.repeats += 1;
-            if lookup.repeats == 1 && !asks_all(directory) {
+            if lookup.repeats == 1 && !queries_all_agents(directory) {
                 self.metrics.lookups_partial.inc();
             }
             let hosts = asked_now(lookup, directory, own_host);
@@ -241,12 +241,12 @@
     }
 
     /// Returns the questions that were dropped since the last call, for log lines.
-    pub(crate) fn take_given_up(&mut self) -> Vec<GivenUp> {
+    pub(crate) fn take_given_up(&mut self) -> Vec<GivenUpLookup> {
         std::mem::take(&mut self.given_up)
     }
 
     /// Returns for how long a question has been open, in milliseconds.
-    pub(crate) fn open_for_ms(&self, flow: &FlowKey, now_ms: u64) -> u64 {
+    pub(crate) fn age_ms(&self, flow: &FlowKey, now_ms: u64) -> u64 {
         let started_ms = self.position(flow).map(|at| self.open[at].started_ms);
         now_ms.saturating_sub(started_ms.unwrap_or(now_ms))
     }
@@ -260,7 +260,7 @@
 ///
 /// By the number of all agents and not of those that have not answered: on larger sites nobody tells of backend servers
 /// that are not published.
-pub(crate) fn asks_all(directory: &Directory) -> bool {
+pub(crate) fn queries_all_agents(directory: &Directory) -> bool {
     directory.current_hosts().len() <= MAX_ASKED
 }
 
@@ -270,7 +270,7 @@
 /// one of them is silent, it most likely holds the flow.
 fn asked_now(lookup: &Lookup, directory: &Directory, own_host: Ipv4Addr) -> Vec<Ipv4Addr> {
     let hosts = unanswered(lookup, directory, own_host);
-    if asks_all(directory) {
+    if queries_all_agents(directory) {
         return hosts;
     }
     let mut others = directory.current_hosts().to_vec();
--- a/src/opaque/finding/remains.rs
+++ b/src/opaque/flows/orphaned_flows.rs
@@ -1,6 +1,6 @@
 //! What is left of a backend server that ended.
 
-use crate::opaque::finding::flow::Opening;
+use crate::opaque::flows::flow::PendingOpener;
 use crate::opaque::packets::segment::FlowKey;
 
 /// A flow whose backend server has ended.
@@ -12,9 +12,9 @@
 
 /// What was left of a backend server that ended.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub(crate) struct Remains {
+pub(crate) struct OrphanedFlows {
     /// Flows that it had shown to hold.
     pub(crate) flows: Vec<EndedFlow>,
     /// Openers that it may not have answered.
-    pub(crate) openers: Vec<(FlowKey, Opening)>,
+    pub(crate) openers: Vec<(FlowKey, PendingOpener)>,
 }
--- a/src/opaque/forwarder.rs
+++ b/src/opaque/forwarder.rs
@@ -5,7 +5,7 @@
 //! flow".
 
 mod offers;
-mod watched;
+mod sent_openers;
 mod without_routes;
 
 use std::collections::VecDeque;
@@ -16,14 +16,14 @@
 use crate::decisions::known_waits::KnownWaits;
 use crate::decisions::suspicion::Suspicion;
 use crate::error::{Error, Result};
-use crate::opaque::finding::flow_map::FlowMap;
-use crate::opaque::forwarder::watched::Watched;
+use crate::opaque::flows::flow_map::FlowMap;
+use crate::opaque::forwarder::sent_openers::SentOpener;
 use crate::opaque::openers::candidates;
-use crate::opaque::openers::expected_retries::ExpectedRetries;
-use crate::opaque::openers::known_loads::KnownLoads;
+use crate::opaque::openers::retry_tracker::RetryTracker;
+use crate::opaque::openers::host_loads::HostLoads;
 use crate::opaque::openers::service_means::ServiceMeans;
 use crate::opaque::packets::action::Action;
-use crate::opaque::packets::message::{Message, MessageKind, UNKNOWN_LOAD};
+use crate::opaque::packets::message::{Message, MessageKind, UNKNOWN_LOAD_PERMILLE};
 use crate::opaque::packets::segment::{FLOW_KEY_BYTES, FlowKey, Segment, WireFormat};
 use crate::opaque::values::directory::Directory;
 use crate::process::opaque_metrics::OpaqueMetrics;
@@ -37,7 +37,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Hint {
     host: Ipv4Addr,
-    seen_ms: u64,
+    last_seen_ms: u64,
     /// Whether the flow is known to have opened there.
     has_opened: bool,
     /// The number that its caller acknowledged last, where a packet of an open flow was seen.
@@ -55,7 +55,7 @@
     ///
     /// A packet whose number is far from the last one belongs to a later flow between the same ends.
     fn take_packet(&mut self, segment: &Segment, now_ms: u64) -> bool {
-        self.seen_ms = now_ms;
+        self.last_seen_ms = now_ms;
         let seen = self.acknowledgement.replace(segment.acknowledgement);
         let is_near = |seen: u32| {
             let ahead = segment.acknowledgement.wrapping_sub(seen);
@@ -75,16 +75,16 @@
     metrics: OpaqueMetrics,
     flow_lifetime_ms: u64,
     hints: FlowMap<Hint>,
-    watched: VecDeque<Watched>,
+    watched: VecDeque<SentOpener>,
     unanswered: Vec<(Ipv4Addr, u32)>,
-    loads: KnownLoads,
+    loads: HostLoads,
     /// The loads over a longer time, of which agents are told the mean.
-    steady_loads: KnownLoads,
+    steady_loads: HostLoads,
     means: ServiceMeans,
     waits: KnownWaits,
     /// Openers that came before a configuration.
     early: EarlyOpeners<FlowKey, Vec<u8>>,
-    retries: ExpectedRetries,
+    retries: RetryTracker,
 }
 
 impl Forwarder {
@@ -107,12 +107,12 @@
             hints: FlowMap::new(MAX_HINTS),
             watched: VecDeque::new(),
             unanswered: Vec::new(),
-            loads: KnownLoads::default(),
-            steady_loads: KnownLoads::default(),
+            loads: HostLoads::default(),
+            steady_loads: HostLoads::default(),
             means: ServiceMeans::default(),
             waits: KnownWaits::default(),
             early: EarlyOpeners::default(),
-            retries: ExpectedRetries::new(),
+            retries: RetryTracker::new(),
         }
     }
 
@@ -153,7 +153,7 @@
             host => host?,
         };
         let waited_ms = self.caller_waited_ms(&flow, attempt, now_ms);
-        let watched = Watched::new(&segment, host, waited_ms, packet.clone(), now_ms);
+        let watched = SentOpener::new(&segment, host, waited_ms, packet.clone(), now_ms);
         self.watch(watched);
         let mut message = self.message(waited_ms);
         message.load_permille = self.mean_load(directory, &flow, now_ms);
@@ -174,22 +174,22 @@
     fn mean_load(&mut self, directory: &Directory, flow: &FlowKey, now_ms: u64) -> u16 {
         let service = directory.service_of(flow);
         let table = service.and_then(|service| Some((service, directory.table(service)?)));
-        table.map_or(UNKNOWN_LOAD, |(service, table)| {
+        table.map_or(UNKNOWN_LOAD_PERMILLE, |(service, table)| {
             self.means
                 .permille(service, table, &self.steady_loads, now_ms)
         })
     }
 
     /// Notes that an attempt of a caller failed after it had waited for so long.
-    pub fn attempt_failed(&mut self, flow: &FlowKey, waited_ms: u16, now_ms: u64) {
+    pub fn record_failed_attempt(&mut self, flow: &FlowKey, waited_ms: u16, now_ms: u64) {
         let caller = *flow.caller.ip();
         self.retries
-            .attempt_failed(caller, u64::from(waited_ms), now_ms);
+            .record_failure(caller, u64::from(waited_ms), now_ms);
     }
 
     /// Notes that an agent said something, whatever it was, and the load that it told.
-    pub fn heard(&mut self, host: Ipv4Addr, load_permille: u16, now_ms: u64) {
-        self.loads.heard(host, load_permille, now_ms);
+    pub fn record_message(&mut self, host: Ipv4Addr, load_permille: u16, now_ms: u64) {
+        self.loads.record(host, load_permille, now_ms);
         if let Ok(index) = self
             .unanswered
             .binary_search_by_key(&host, |(host, _)| *host)
@@ -199,30 +199,30 @@
     }
 
     /// Notes the load of an agent's backend server over a longer time.
-    pub fn heard_steady(&mut self, host: Ipv4Addr, load_permille: u16, now_ms: u64) {
-        self.steady_loads.heard(host, load_permille, now_ms);
+    pub fn record_steady_load(&mut self, host: Ipv4Addr, load_permille: u16, now_ms: u64) {
+        self.steady_loads.record(host, load_permille, now_ms);
     }
 
     /// Notes who holds a flow.
-    pub fn holds(&mut self, flow: FlowKey, host: Ipv4Addr, now_ms: u64) {
+    pub fn record_holder(&mut self, flow: FlowKey, host: Ipv4Addr, now_ms: u64) {
         let held = self.hints.get_mut(&flow);
         // Who took an opener too late says so when the flow has opened elsewhere.
         if let Some(hint) = held.filter(|hint| hint.has_opened) {
-            hint.seen_ms = now_ms;
+            hint.last_seen_ms = now_ms;
             return;
         }
         self.set_hint(flow, host, false, now_ms);
     }
 
     /// Notes that a flow has opened at a host.
-    pub fn opened(&mut self, flow: FlowKey, host: Ipv4Addr, now_ms: u64) {
+    pub fn record_opened(&mut self, flow: FlowKey, host: Ipv4Addr, now_ms: u64) {
         self.set_hint(flow, host, true, now_ms);
     }
 
     fn set_hint(&mut self, flow: FlowKey, host: Ipv4Addr, has_opened: bool, now_ms: u64) {
         let hint = Hint {
             host,
-            seen_ms: now_ms,
+            last_seen_ms: now_ms,
             has_opened,
             acknowledgement: None,
         };
@@ -242,11 +242,11 @@
         self.retries.expire(now_ms);
         let lifetime_ms = self.flow_lifetime_ms;
         self.hints
-            .retain(|_, hint| now_ms < hint.seen_ms + lifetime_ms);
+            .retain(|_, hint| now_ms < hint.last_seen_ms + lifetime_ms);
     }
 
     /// Returns the number of hints.
-    pub fn hints(&self) -> usize {
+    pub fn hint_count(&self) -> usize {
         self.hints.len()
     }
 
@@ -285,9 +285,9 @@
         {
             return Ok(hint.host);
         }
-        let mut order = candidates::in_order(directory, suspicion, &self.zone, flow, now_ms)?;
+        let mut order = candidates::by_preference(directory, suspicion, &self.zone, flow, now_ms)?;
         if let [first, second, ..] = order.as_mut_slice()
-            && self.loads.prefers(*second, *first, now_ms)
+            && self.loads.is_less_loaded(*second, *first, now_ms)
         {
             std::mem::swap(first, second);
         }
@@ -310,12 +310,12 @@
             self.metrics.hints_right.inc();
             return Ok((hint.host, hint.take_packet(segment, now_ms)));
         }
-        let order = candidates::in_order(directory, suspicion, &self.zone, &flow, now_ms);
+        let order = candidates::by_preference(directory, suspicion, &self.zone, &flow, now_ms);
         match order {
             Ok(order) => Ok((order[0], false)),
             // Those that take no new flow hold open ones: a drain or an evacuation of all must not stop them.
             Err(error) => {
-                let host = candidates::any_agent(directory, &flow).ok_or(error)?;
+                let host = candidates::first_agent(directory, &flow).ok_or(error)?;
                 Ok((host, false))
             }
         }
@@ -338,24 +338,24 @@
 ///
 /// Copies come only from callers whose first one went to an agent, which may have taken it since.
 fn is_evacuated_for(directory: &Directory, opener: &Segment) -> bool {
-    opener.acknowledgement == 0 && candidates::are_evacuated(directory, &opener.flow_from_caller())
+    opener.acknowledgement == 0 && candidates::is_service_evacuated(directory, &opener.flow_from_caller())
 }
 
 /// Returns the load over a longer time that the payload of a [`MessageKind::Holds`] or [`MessageKind::Declined`]
 /// tells behind its flow.
-pub fn steady_load(payload: &[u8]) -> Option<u16> {
+pub fn decode_steady_load(payload: &[u8]) -> Option<u16> {
     let bytes = payload.get(FLOW_KEY_BYTES..)?.first_chunk()?;
     Some(u16::from_be_bytes(*bytes))
 }
 
 /// Returns for how long a new flow would wait at the sender of a [`MessageKind::Holds`] or
 /// [`MessageKind::Declined`], in milliseconds, where its payload tells that.
-pub fn told_wait(payload: &[u8]) -> Option<u16> {
+pub fn decode_wait_ms(payload: &[u8]) -> Option<u16> {
     let bytes = payload.get(FLOW_KEY_BYTES + 2..)?.first_chunk()?;
     Some(u16::from_be_bytes(*bytes))
 }
 
 /// Returns the flow that the payload of a message names.
-pub(crate) fn named_flow(payload: &[u8]) -> Option<FlowKey> {
+pub(crate) fn decode_flow(payload: &[u8]) -> Option<FlowKey> {
     FlowKey::from_bytes(payload.get(..FLOW_KEY_BYTES)?)
 }
--- a/src/opaque/forwarder/offers.rs
+++ b/src/opaque/forwarder/offers.rs
@@ -8,7 +8,7 @@
 use crate::decisions::offers::{Candidate, Offer, choose};
 use crate::decisions::suspicion::Suspicion;
 use crate::error::{Error, Result};
-use crate::opaque::forwarder::watched::{TAKEN_TIMEOUT_MS, Watched};
+use crate::opaque::forwarder::sent_openers::{ANSWER_TIMEOUT_MS, SentOpener};
 use crate::opaque::forwarder::{Forwarder, is_evacuated_for};
 use crate::opaque::openers::candidates;
 use crate::opaque::packets::action::Action;
@@ -16,7 +16,7 @@
 use crate::opaque::packets::segment::Segment;
 use crate::opaque::values::directory::Directory;
 
-impl Watched {
+impl SentOpener {
     /// Tells whether it is offered by what agents would let it wait.
     pub(super) fn is_offer(&self) -> bool {
         !self.offered.is_empty()
@@ -25,7 +25,7 @@
 
 impl Forwarder {
     /// Notes for how long a new flow would wait at an agent.
-    pub fn heard_wait(&mut self, directory: &Directory, host: Ipv4Addr, wait_ms: u16, now_ms: u64) {
+    pub fn record_wait(&mut self, directory: &Directory, host: Ipv4Addr, wait_ms: u16, now_ms: u64) {
         let is_near = directory.is_in_zone(host, &self.zone);
         self.waits.heard(host, is_near, wait_ms, now_ms);
     }
@@ -49,7 +49,7 @@
         let came_ms = now_ms.saturating_sub(kept_ms);
         let waited_ms = self.caller_waited_ms(&flow, attempt, came_ms) + kept_ms;
         self.watched.retain(|watched| watched.flow != flow);
-        let mut watched = Watched::new(segment, Ipv4Addr::UNSPECIFIED, waited_ms, packet, now_ms);
+        let mut watched = SentOpener::new(segment, Ipv4Addr::UNSPECIFIED, waited_ms, packet, now_ms);
         let held = self.hints.get(&flow).map(|hint| hint.host);
         let is_there =
             |host: &Ipv4Addr| directory.is_current(*host) && !suspicion.is_suspected(*host, now_ms);
@@ -73,7 +73,7 @@
         &mut self,
         directory: &Directory,
         suspicion: &Suspicion,
-        mut watched: Watched,
+        mut watched: SentOpener,
         now_ms: u64,
     ) -> Result<Action> {
         let flow = watched.flow;
@@ -86,7 +86,7 @@
             Offer::MayDecline(host, _) if watched.was_missed => host,
             Offer::MayDecline(host, most_ms) => {
                 message.kind = MessageKind::Offer;
-                message.most_wait_ms = most_ms as u16;
+                message.max_wait_ms = most_ms as u16;
                 message.load_permille = self.mean_load(directory, &flow, now_ms);
                 host
             }
@@ -102,7 +102,7 @@
         watched.host = host;
         watched.offered.push(host);
         watched.sent_ms = now_ms;
-        watched.due_ms = now_ms + TAKEN_TIMEOUT_MS;
+        watched.due_ms = now_ms + ANSWER_TIMEOUT_MS;
         let action = Action::ToPeer(host, message, watched.packet.clone());
         self.watch(watched);
         Ok(action)
@@ -112,11 +112,11 @@
         &self,
         directory: &Directory,
         suspicion: &Suspicion,
-        watched: &Watched,
+        watched: &SentOpener,
         now_ms: u64,
     ) -> Result<Vec<Candidate>> {
         let flow = &watched.flow;
-        let hosts = candidates::asked(directory, suspicion, &self.zone, flow, now_ms)?;
+        let hosts = candidates::for_offers(directory, suspicion, &self.zone, flow, now_ms)?;
         let candidate = |(host, is_near)| Candidate {
             host,
             is_near,
@@ -128,13 +128,13 @@
     }
 
     /// Tells whether an opener's agent has answered since it was sent there.
-    pub(super) fn is_answered(&self, watched: &Watched) -> bool {
+    pub(super) fn is_answered(&self, watched: &SentOpener) -> bool {
         let hint = self.hints.get(&watched.flow);
-        hint.is_some_and(|hint| !watched.is_offer() || hint.seen_ms >= watched.sent_ms)
+        hint.is_some_and(|hint| !watched.is_offer() || hint.last_seen_ms >= watched.sent_ms)
     }
 
     /// Forgets that an agent has an opener about which it no longer answers.
-    pub(super) fn forget_hint(&mut self, watched: &Watched) {
+    pub(super) fn forget_hint(&mut self, watched: &SentOpener) {
         if self
             .hints
             .get(&watched.flow)
--- a/src/opaque/forwarder/watched.rs
+++ b/src/opaque/forwarder/sent_openers.rs
@@ -10,7 +10,7 @@
 
 /// How long an agent may take to say that it has an opener, in milliseconds: several round trips
 /// between availability zones, and half of the wait after which callers send a copy.
-pub(super) const TAKEN_TIMEOUT_MS: u64 = 100;
+pub(super) const ANSWER_TIMEOUT_MS: u64 = 100;
 /// After how many openers in a row without an answer an agent is suspected: one may be lost or late.
 const SUSPECT_AFTER: u32 = 2;
 /// How many agents may decline an opener: of four in a row one almost always has no more than the mean.
@@ -20,7 +20,7 @@
 
 /// An opener whose agent has not answered yet.
 #[derive(Debug, Clone)]
-pub(super) struct Watched {
+pub(super) struct SentOpener {
     pub(super) due_ms: u64,
     pub(super) flow: FlowKey,
     pub(super) host: Ipv4Addr,
@@ -37,7 +37,7 @@
     pub(super) packet: Vec<u8>,
 }
 
-impl Watched {
+impl SentOpener {
     /// Makes the watch of an opener that goes to an agent now.
     pub(super) fn new(
         opener: &Segment,
@@ -47,7 +47,7 @@
         now_ms: u64,
     ) -> Self {
         Self {
-            due_ms: now_ms + TAKEN_TIMEOUT_MS,
+            due_ms: now_ms + ANSWER_TIMEOUT_MS,
             flow: opener.flow_from_caller(),
             host,
             attempt: opener.acknowledgement as usize,
@@ -63,13 +63,13 @@
 
 impl Forwarder {
     /// Notes that an agent has an opener and looks for another that takes it.
-    pub fn handed_on(&mut self, flow: &FlowKey, host: Ipv4Addr) {
+    pub fn record_handed_on(&mut self, flow: &FlowKey, host: Ipv4Addr) {
         self.watched
             .retain(|watched| watched.flow != *flow || watched.host != host);
     }
 
     /// Offers an opener that an agent with much to do declined to the next one, which may decline it too.
-    pub fn declined(
+    pub fn handle_decline(
         &mut self,
         directory: &Directory,
         suspicion: &Suspicion,
@@ -77,7 +77,7 @@
         host: Ipv4Addr,
         now_ms: u64,
     ) -> Option<Action> {
-        let is_it = |watched: &Watched| watched.flow == *flow && watched.host == host;
+        let is_it = |watched: &SentOpener| watched.flow == *flow && watched.host == host;
         let index = self.watched.iter().position(is_it)?;
         let mut watched = self.watched.remove(index)?;
         if watched.is_offer() {
@@ -85,7 +85,7 @@
         }
         watched.attempt += 1;
         watched.declined += 1;
-        watched.due_ms = now_ms + TAKEN_TIMEOUT_MS;
+        watched.due_ms = now_ms + ANSWER_TIMEOUT_MS;
         let attempt = watched.attempt;
         watched.host = self
             .opener_host(directory, suspicion, flow, attempt, now_ms)
@@ -129,7 +129,7 @@
                 self.metrics.hosts_suspected.inc();
             }
             log::info!(
-                "event=opener_unanswered flow={} host={} waited_ms={TAKEN_TIMEOUT_MS} attempt={}",
+                "event=opener_unanswered flow={} host={} waited_ms={ANSWER_TIMEOUT_MS} attempt={}",
                 watched.flow,
                 watched.host,
                 watched.attempt
@@ -166,7 +166,7 @@
         self.unanswered[index].1
     }
 
-    pub(super) fn watch(&mut self, watched: Watched) {
+    pub(super) fn watch(&mut self, watched: SentOpener) {
         let is_known = self.hints.get(&watched.flow).is_some() && !watched.is_offer();
         if self.watched.len() < MAX_WATCHED && !is_known {
             self.watched.push_back(watched);
--- a/src/opaque/forwarder/without_routes.rs
+++ b/src/opaque/forwarder/without_routes.rs
@@ -3,7 +3,7 @@
 use crate::code::Code;
 use crate::decisions::suspicion::Suspicion;
 use crate::error::{Error, Result};
-use crate::opaque::finding::flow_search::FlowSearch;
+use crate::opaque::flows::flow_search::FlowSearch;
 use crate::opaque::forwarder::Forwarder;
 use crate::opaque::packets::action::Action;
 use crate::opaque::packets::message::{Message, MessageKind};
@@ -31,14 +31,14 @@
             return Err(Error::new(Code::RouteUnknown, flow.called.to_string()));
         }
         if let Some(hint) = self.hints.get_mut(&flow) {
-            hint.seen_ms = now_ms;
+            hint.last_seen_ms = now_ms;
             let host = hint.host;
             return Ok(vec![self.deliver(host, packet.to_vec(), 0)]);
         }
         let find = Message::new(MessageKind::Find);
         let agents = search.next_agents(&flow, now_ms);
         self.metrics.packets_shown.inc_by(agents.len() as u64);
-        self.metrics.agents_heard.set(search.known() as i64);
+        self.metrics.agents_heard.set(search.agent_count() as i64);
         let agents = agents.into_iter();
         let shown = agents.map(|host| Action::ToPeer(host, find, packet.to_vec()));
         Ok(shown.collect())
@@ -47,7 +47,7 @@
     /// Offers the openers that came before a configuration, once one is in force.
     ///
     /// Only those whose callers have time for one attempt; the others send copies.
-    pub fn routes_known(
+    pub fn offer_early_openers(
         &mut self,
         directory: &Directory,
         suspicion: &Suspicion,
--- a/src/opaque/keeper.rs
+++ b/src/opaque/keeper.rs
@@ -27,15 +27,15 @@
 use crate::decisions::suspicion::Suspicion;
 use crate::decisions::wait_queue::WaitQueue;
 use crate::error::Result;
-use crate::opaque::finding::flow::Flow;
-use crate::opaque::finding::flow_book::FlowBook;
-use crate::opaque::finding::lookup::Lookups;
+use crate::opaque::flows::flow::Flow;
+use crate::opaque::flows::flow_table::FlowTable;
+use crate::opaque::flows::lookup::Lookups;
 use crate::opaque::keeper::waiting::WaitingWork;
-use crate::opaque::openers::cold_rate::ColdRate;
-use crate::opaque::openers::mean_load::{FAILING_LOAD, MeanLoad, RECENT_SPAN_MS, STEADY_SPAN_MS};
+use crate::opaque::openers::cold_rate_limiter::ColdRateLimiter;
+use crate::opaque::openers::mean_load::{FAILING_LOAD_PERMILLE, MeanLoad, RECENT_SPAN_MS, STEADY_SPAN_MS};
 use crate::opaque::openers::recent_outcomes::RecentOutcomes;
 use crate::opaque::packets::action::Action;
-use crate::opaque::packets::message::{Message, MessageKind, UNKNOWN_LOAD};
+use crate::opaque::packets::message::{Message, MessageKind, UNKNOWN_LOAD_PERMILLE};
 use crate::opaque::packets::segment::{FlowKey, WireFormat};
 use crate::opaque::values::directory::Directory;
 use crate::opaque::values::known_balancers::KnownBalancers;
@@ -79,7 +79,7 @@
     wire: WireFormat,
     identity: KeeperIdentity,
     metrics: OpaqueMetrics,
-    flows: FlowBook,
+    flows: FlowTable,
     /// The load over the last second, which is told.
     load: MeanLoad,
     /// The load over a longer time, by which flows are shared out.
@@ -92,7 +92,7 @@
     outcomes: RecentOutcomes,
     failing: bool,
     stall: StallWatch<FlowKey>,
-    cold_rate: ColdRate,
+    cold_rate: ColdRateLimiter,
     /// Since when the backend server may be cold without its entry telling so yet.
     maybe_cold_since_ms: Option<u64>,
     /// Whether operators had evacuated its availability zone when that was last looked at.
@@ -129,16 +129,16 @@
             wire,
             identity,
             metrics: metrics.clone(),
-            flows: FlowBook::new(metrics, identity.flow_lifetime_ms),
-            load: MeanLoad::over(RECENT_SPAN_MS),
-            steady_load: MeanLoad::over(STEADY_SPAN_MS),
+            flows: FlowTable::new(metrics, identity.flow_lifetime_ms),
+            load: MeanLoad::new(RECENT_SPAN_MS),
+            steady_load: MeanLoad::new(STEADY_SPAN_MS),
             slot_time: SlotTime::default(),
             shed_at: None,
             waiting: WaitQueue::default(),
             outcomes: RecentOutcomes::default(),
             failing: false,
             stall: StallWatch::new(),
-            cold_rate: ColdRate::default(),
+            cold_rate: ColdRateLimiter::default(),
             maybe_cold_since_ms: None,
             was_evacuated: false,
             lookups: Lookups::new(metrics),
@@ -161,25 +161,25 @@
 
     /// Returns the requests that run or wait at the backend server.
     pub fn busy(&self) -> u32 {
-        self.flows.busy()
+        self.flows.busy_requests()
     }
 
     /// Returns the mean load of the backend server, for balancers to choose by.
     pub fn load_permille(&mut self, scene: &Scene<'_>) -> u16 {
-        self.load.changed(self.flows.busy(), scene.now_ms);
-        self.steady_load.changed(self.flows.busy(), scene.now_ms);
+        self.load.update(self.flows.busy_requests(), scene.now_ms);
+        self.steady_load.update(self.flows.busy_requests(), scene.now_ms);
         self.note_slots(scene);
         if self.outcomes.is_failing(scene.now_ms) || self.is_stalled(scene.now_ms) {
             // What fails at once looks idle, and would attract what others could serve.
-            return FAILING_LOAD;
+            return FAILING_LOAD_PERMILLE;
         }
         let slots = self.own_slots(scene);
-        slots.map_or(UNKNOWN_LOAD, |slots| self.load.permille(slots))
+        slots.map_or(UNKNOWN_LOAD_PERMILLE, |slots| self.load.permille(slots))
     }
 
     /// Returns the flows open at the backend server.
     pub fn open_flows(&self) -> u32 {
-        self.flows.open()
+        self.flows.open_flows()
     }
 
     /// Tells whether this agent knows every flow of its backend server.
@@ -236,7 +236,7 @@
             MessageKind::Absent => {
                 if let Some(key) = FlowKey::from_bytes(payload) {
                     let revision = message.digest.highest;
-                    self.lookups.absent(&key, from, revision);
+                    self.lookups.record_absent(&key, from, revision);
                     self.conclude(scene, &key, &mut actions);
                 }
             }
@@ -285,10 +285,10 @@
             }
         }
         self.serve_waiting(scene, &mut actions);
-        for key in self.lookups.flows() {
+        for key in self.lookups.pending_flows() {
             self.conclude(scene, &key, &mut actions);
         }
-        for (host, packet) in self.lookups.due(scene.directory, scene.now_ms) {
+        for (host, packet) in self.lookups.due_queries(scene.directory, scene.now_ms) {
             let message = Message::new(MessageKind::Find);
             actions.push(Action::ToPeer(host, message, packet));
         }
@@ -319,7 +319,7 @@
         let remembered = self.flows.insert(key, flow, now_ms);
         if !remembered {
             self.knows_all = false;
-            log::warn!("event=flows_full flow={key} open={}", self.flows.open());
+            log::warn!("event=flows_full flow={key} open={}", self.flows.open_flows());
         }
         remembered
     }
--- a/src/opaque/keeper/answers.rs
+++ b/src/opaque/keeper/answers.rs
@@ -2,7 +2,7 @@
 
 use std::net::Ipv4Addr;
 
-use crate::opaque::finding::flow::{Flow, Holding, Origin, Running};
+use crate::opaque::flows::flow::{Flow, FlowState, PacketSource, RunningRequest};
 use crate::opaque::keeper::stall::may_go_on;
 use crate::opaque::keeper::{BACKEND_TIMEOUT_MS, Keeper, Scene, tell};
 use crate::opaque::packets::action::Action;
@@ -55,17 +55,17 @@
         let Some(flow) = self.flows.get(&key) else {
             return;
         };
-        match flow.holding.clone() {
-            Holding::Opening(opening) => {
+        match flow.state.clone() {
+            FlowState::Opening(opening) => {
                 self.flows.remove(&key, scene.now_ms);
                 self.hand_on(scene, &key, opening, actions);
             }
             // A late copy of an opener whose flow has opened already, here or elsewhere.
             _ if segment.opens => {}
-            holding => {
+            state => {
                 self.stall.withdrawn(key);
                 let lost = self.flows.update(&key, scene.now_ms, |flow| {
-                    flow.holding = Holding::Absent;
+                    flow.state = FlowState::Absent;
                     flow.running.take()
                 });
                 if let Some(running) = lost.flatten() {
@@ -73,14 +73,14 @@
                     let id = running.id;
                     log::warn!("event=request_lost request={id} flow={key} reason=flow_not_held");
                 }
-                match holding {
-                    Holding::Unconfirmed {
-                        origin: Origin::Asker(asker),
+                match state {
+                    FlowState::Unconfirmed {
+                        source: PacketSource::AskingAgent(asker),
                         ..
                     } => tell(MessageKind::Absent, &key, asker, actions),
                     // It opened here and nowhere else, and has ended with its backend server.
-                    Holding::Unconfirmed {
-                        origin: Origin::OpenedHere,
+                    FlowState::Unconfirmed {
+                        source: PacketSource::BalancerKnowsOpened,
                         ..
                     } => {
                         self.metrics.ends_proved_by_backend.inc();
@@ -102,10 +102,10 @@
         let acknowledged = tells_acknowledged.then_some(segment.acknowledgement);
         if self.flows.get(&key).is_none() {
             if !segment.resets && !segment.accepts {
-                let mut flow = Flow::new(Holding::Open, now_ms);
-                flow.acknowledged = acknowledged;
+                let mut flow = Flow::new(FlowState::Open, now_ms);
+                flow.backend_acknowledgement = acknowledged;
                 flow.caller_acknowledgement = segment.sequence;
-                flow.shown = true;
+                flow.is_confirmed = true;
                 self.remember(key, flow, now_ms);
             }
             if segment.payload_bytes > 0 {
@@ -115,29 +115,29 @@
         }
         let broke_ms = self.broke_ms;
         let answered = self.flows.update(&key, now_ms, |flow| {
-            flow.seen_ms = now_ms;
-            let was_shown = flow.shown;
-            flow.shown |= !segment.accepts;
+            flow.last_seen_ms = now_ms;
+            let was_shown = flow.is_confirmed;
+            flow.is_confirmed |= !segment.accepts;
             if let Some(next) = acknowledged {
-                flow.note_acknowledged(next);
+                flow.record_acknowledgement(next);
             }
-            match &mut flow.holding {
-                Holding::Opening(opening) if segment.accepts => {
-                    opening.answered = true;
+            match &mut flow.state {
+                FlowState::Opening(opening) if segment.accepts => {
+                    opening.is_answered = true;
                     opening.backend_sequence = segment.sequence;
                 }
-                Holding::Opening(_) | Holding::Open => {}
-                holding => *holding = Holding::Open,
+                FlowState::Opening(_) | FlowState::Open => {}
+                state => *state = FlowState::Open,
             }
-            flow.closed |= segment.ends || segment.resets;
+            flow.is_closed |= segment.ends || segment.resets;
             let outlived = broke_ms.is_some_and(|broke_ms| flow.since_ms < broke_ms);
-            let seen = flow.backend_next;
-            let answers = flow.takes_answer(segment);
-            let brings = segment.payload_bytes > 0 && flow.backend_next != seen;
+            let seen = flow.backend_next_sequence;
+            let answers = flow.record_answer(segment);
+            let brings = segment.payload_bytes > 0 && flow.backend_next_sequence != seen;
             if brings {
-                flow.answer_goes_on = may_go_on(segment);
+                flow.may_continue_answer = may_go_on(segment);
             }
-            let running = flow.running.take_if(|_| answers || flow.closed);
+            let running = flow.running.take_if(|_| answers || flow.is_closed);
             let end = match (answers, has_deadline) {
                 (true, _) => None,
                 (false, true) => Some(unanswered_end(flow, segment, was_shown)),
@@ -172,7 +172,7 @@
     }
 
     /// Notes that the backend server ended a flow whose request it had not answered.
-    fn note_closed(&mut self, key: &FlowKey, running: &Running, end: UnansweredEnd, now_ms: u64) {
+    fn note_closed(&mut self, key: &FlowKey, running: &RunningRequest, end: UnansweredEnd, now_ms: u64) {
         let waited_ms = now_ms.saturating_sub(running.since_ms);
         log::warn!(
             "event=request_lost request={} flow={key} waited_ms={waited_ms} reason={}",
@@ -189,7 +189,7 @@
         &mut self,
         scene: &Scene<'_>,
         key: &FlowKey,
-        running: &Running,
+        running: &RunningRequest,
         status: Option<u16>,
     ) {
         let now_ms = scene.now_ms;
@@ -200,7 +200,7 @@
         if status == Some(OVERLOADED_STATUS) && self.is_full(scene, key) {
             // In a rush it would seem to fail, and be left idle as soon as it has room again.
             self.metrics.requests_shed.inc();
-            let busy = self.flows.busy();
+            let busy = self.flows.busy_requests();
             let least = self.shed_at(now_ms).map_or(busy, |least| least.min(busy));
             self.shed_at = Some((least, now_ms));
         } else if is_server_error(status) {
@@ -215,7 +215,7 @@
                 "event=request_answered request={} flow={key} status={} took_ms={took_ms} busy={}",
                 running.id,
                 status.map_or_else(|| "unknown".to_owned(), |status| status.to_string()),
-                self.flows.busy()
+                self.flows.busy_requests()
             );
         }
     }
@@ -230,8 +230,8 @@
         let Some(flow) = self.flows.get(key) else {
             return true;
         };
-        match flow.holding.clone() {
-            Holding::Opening(opening) if !opening.answered => {
+        match flow.state.clone() {
+            FlowState::Opening(opening) if !opening.is_answered => {
                 if scene.now_ms < opening.since_ms + BACKEND_TIMEOUT_MS {
                     return false;
                 }
@@ -241,13 +241,13 @@
                 }
                 self.hand_on(scene, key, opening, actions);
             }
-            Holding::Unconfirmed { since_ms, origin } => {
+            FlowState::Unconfirmed { since_ms, source } => {
                 if scene.now_ms < since_ms + BACKEND_TIMEOUT_MS {
                     return false;
                 }
                 self.flows
-                    .update(key, scene.now_ms, |flow| flow.holding = Holding::Open);
-                if let Origin::Asker(asker) = origin {
+                    .update(key, scene.now_ms, |flow| flow.state = FlowState::Open);
+                if let PacketSource::AskingAgent(asker) = source {
                     tell(MessageKind::Found, key, asker, actions);
                 }
             }
@@ -262,7 +262,7 @@
 /// After a restart of many hosts callers leave whose time ran out in the dark, and flows are reset that ended with
 /// what was before: counted as failures, both would have a backend server left out that has just come back.
 fn unanswered_end(flow: &Flow, segment: &Segment, was_shown: bool) -> UnansweredEnd {
-    if flow.caller_left {
+    if flow.has_caller_left {
         UnansweredEnd::CallerLeft
     } else if segment.resets && !was_shown {
         UnansweredEnd::FromBefore
--- a/src/opaque/keeper/backend_life.rs
+++ b/src/opaque/keeper/backend_life.rs
@@ -2,7 +2,7 @@
 
 use crate::code::Code;
 use crate::decisions::service_time::SlotTime;
-use crate::opaque::finding::remains::Remains;
+use crate::opaque::flows::orphaned_flows::OrphanedFlows;
 use crate::opaque::keeper::{Keeper, Scene};
 use crate::opaque::openers::recent_outcomes::RecentOutcomes;
 use crate::opaque::packets::action::Action;
@@ -84,26 +84,26 @@
             return Vec::new();
         }
         // Whatever came in until now was for the process that has ended.
-        let remains = self.flows.take_remains(u64::MAX, scene.now_ms);
+        let orphaned = self.flows.take_orphaned(u64::MAX, scene.now_ms);
         self.pending.clear();
         self.stall.forget();
         self.forget_slot_times();
         log::info!(
             "event=backend_ended flows={} openers={} last_packet_ms_ago={} revision={}",
-            remains.flows.len(),
-            remains.openers.len(),
+            orphaned.flows.len(),
+            orphaned.openers.len(),
             scene.now_ms.saturating_sub(self.last_heard_ms),
             scene.revision
         );
-        let mut actions = self.close_remains(scene, remains);
+        let mut actions = self.close_remains(scene, orphaned);
         self.pass_on_waiting(scene, &mut actions);
         actions
     }
 
     /// Resets the flows that are left of a backend server, and passes its openers on.
-    fn close_remains(&self, scene: &Scene<'_>, remains: Remains) -> Vec<Action> {
+    fn close_remains(&self, scene: &Scene<'_>, orphaned: OrphanedFlows) -> Vec<Action> {
         let mut actions = Vec::new();
-        for ended in remains.flows {
+        for ended in orphaned.flows {
             self.reset(
                 &ended.key,
                 ended.acknowledgement,
@@ -111,7 +111,7 @@
                 &mut actions,
             );
         }
-        for (key, opening) in remains.openers {
+        for (key, opening) in orphaned.openers {
             self.hand_on(scene, &key, opening, &mut actions);
         }
         actions
@@ -144,15 +144,15 @@
         let Some(broke_ms) = self.broke_ms.take() else {
             return Vec::new();
         };
-        let remains = self.flows.take_remains(broke_ms, scene.now_ms);
+        let orphaned = self.flows.take_orphaned(broke_ms, scene.now_ms);
         log::info!(
             "event=backend_restarted flows={} openers={} broke_ms_ago={} revision={}",
-            remains.flows.len(),
-            remains.openers.len(),
+            orphaned.flows.len(),
+            orphaned.openers.len(),
             scene.now_ms.saturating_sub(broke_ms),
             scene.revision
         );
-        self.close_remains(scene, remains)
+        self.close_remains(scene, orphaned)
     }
 
     /// Forgets how the lifetime before fared: a process that has just started has failed nothing yet, and
@@ -173,19 +173,19 @@
 
     /// Notes that a request failed at the backend server.
     pub(super) fn note_failed(&mut self, now_ms: u64) {
-        self.outcomes.note_failed(now_ms);
+        self.outcomes.record_failed(now_ms);
         let failing = self.outcomes.is_failing(now_ms);
         if failing && !std::mem::replace(&mut self.failing, true) {
-            log::warn!("event=backend_fails busy={}", self.flows.busy());
+            log::warn!("event=backend_fails busy={}", self.flows.busy_requests());
         }
     }
 
     /// Notes that a request was answered by the backend server.
     pub(super) fn note_served(&mut self, now_ms: u64) {
-        self.outcomes.note_served(now_ms);
+        self.outcomes.record_served(now_ms);
         if self.failing && !self.outcomes.is_failing(now_ms) {
             self.failing = false;
-            log::warn!("event=backend_serves busy={}", self.flows.busy());
+            log::warn!("event=backend_serves busy={}", self.flows.busy_requests());
         }
     }
 }
--- a/src/opaque/keeper/declines.rs
+++ b/src/opaque/keeper/declines.rs
@@ -8,10 +8,10 @@
 use std::net::Ipv4Addr;
 
 use crate::decisions::offers::TAKES_NONE_MS;
-use crate::opaque::finding::flow::Opening;
+use crate::opaque::flows::flow::PendingOpener;
 use crate::opaque::keeper::{Keeper, Scene, tell};
 use crate::opaque::packets::action::Action;
-use crate::opaque::packets::message::{Message, MessageKind, UNKNOWN_LOAD};
+use crate::opaque::packets::message::{Message, MessageKind, UNKNOWN_LOAD_PERMILLE};
 use crate::opaque::packets::segment::FlowKey;
 
 /// How much more than the mean an agent must have to decline openers, as a part of the mean: below it, the way to
@@ -39,11 +39,11 @@
     /// Tells whether an opener that could be taken should rather go to an agent with less to do.
     ///
     /// Only one whose caller has not waited goes on: each further agent is a risk and some milliseconds.
-    pub(super) fn declines(&self, scene: &Scene<'_>, opening: &Opening, message: &Message) -> bool {
+    pub(super) fn declines(&self, scene: &Scene<'_>, opening: &PendingOpener, message: &Message) -> bool {
         let is_fresh = opening.copy == 0 && opening.waited_ms == 0;
         let from_balancer = matches!(message.kind, MessageKind::Deliver | MessageKind::Offer);
         let may_decline = from_balancer && is_fresh;
-        if !may_decline || message.load_permille == UNKNOWN_LOAD {
+        if !may_decline || message.load_permille == UNKNOWN_LOAD_PERMILLE {
             return false;
         }
         let mean = f64::from(message.load_permille);
@@ -54,7 +54,7 @@
 
     /// Tells whether an opener that is offered would wait here for no longer than its balancer expects elsewhere.
     pub(super) fn is_wait_taken(&mut self, scene: &Scene<'_>, message: &Message) -> bool {
-        self.expected_wait_ms(scene) <= message.most_wait_ms
+        self.expected_wait_ms(scene) <= message.max_wait_ms
     }
 
     /// Gives an opener back to its balancer.
@@ -74,9 +74,9 @@
         };
         log::info!(
             "event=opener_declined flow={key} reason={reason:?} wait_ms={wait_ms} busy={} slots={} load_permille={} mean_permille={} revision={}",
-            self.flows.busy(),
+            self.flows.busy_requests(),
             self.own_slots(scene).unwrap_or_default(),
-            self.steady_permille(scene).unwrap_or(UNKNOWN_LOAD),
+            self.steady_permille(scene).unwrap_or(UNKNOWN_LOAD_PERMILLE),
             message.load_permille,
             scene.revision
         );
@@ -120,7 +120,7 @@
             message.host = self.identity.host;
             let mut permille = self.steady_permille(scene);
             if wait_ms.is_some() {
-                permille.get_or_insert(UNKNOWN_LOAD);
+                permille.get_or_insert(UNKNOWN_LOAD_PERMILLE);
             }
             let words = permille.into_iter().chain(wait_ms);
             payload.extend(words.flat_map(u16::to_be_bytes));
@@ -131,6 +131,6 @@
     /// that can be told.
     fn steady_permille(&self, scene: &Scene<'_>) -> Option<u16> {
         let slots = self.own_slots(scene)?;
-        self.steady_load.permille_since_begun(slots)
+        self.steady_load.permille_since_start(slots)
     }
 }
--- a/src/opaque/keeper/delivery.rs
+++ b/src/opaque/keeper/delivery.rs
@@ -3,7 +3,7 @@
 use std::net::Ipv4Addr;
 
 use crate::config::deadlines::Deadline;
-use crate::opaque::finding::flow::{ABANDONED_MS, Flow, Holding, Origin, Running};
+use crate::opaque::flows::flow::{REQUEST_BUSY_TIMEOUT_MS, Flow, FlowState, PacketSource, RunningRequest};
 use crate::opaque::keeper::{Keeper, Scene, say_holds, tell_balancer};
 use crate::opaque::packets::action::Action;
 use crate::opaque::packets::message::{Message, MessageKind};
@@ -44,22 +44,22 @@
             }
             return;
         }
-        let holding = self.flows.get(&key).map(|flow| flow.holding.clone());
-        match holding {
-            Some(Holding::Elsewhere(host)) if scene.directory.is_current(host) => {
+        let state = self.flows.get(&key).map(|flow| flow.state.clone());
+        match state {
+            Some(FlowState::Elsewhere(host)) if scene.directory.is_current(host) => {
                 let now_ms = scene.now_ms;
                 self.flows
-                    .update(&key, now_ms, |flow| flow.seen_ms = now_ms);
+                    .update(&key, now_ms, |flow| flow.last_seen_ms = now_ms);
                 let message = Message::new(MessageKind::Deliver);
                 say_holds(&key, balancer, host, actions);
                 actions.push(Action::ToPeer(host, message, packet.to_vec()));
             }
             // What the backend server returns has ended, and nobody need be asked.
             _ if message.has_opened => {
-                self.try_backend(scene, segment, packet, Origin::OpenedHere, actions);
+                self.try_backend(scene, segment, packet, PacketSource::BalancerKnowsOpened, actions);
             }
             None if !self.knows_all => {
-                self.try_backend(scene, segment, packet, Origin::Balancer, actions);
+                self.try_backend(scene, segment, packet, PacketSource::Balancer, actions);
             }
             _ => self.look_up(scene, segment, packet, balancer, actions),
         }
@@ -80,26 +80,26 @@
         let deadline = scene.directory.deadline(key.called);
         let counts_ms = counts_ms(deadline);
         let delivery = self.flows.update(&key, now_ms, |flow| {
-            let was_open = flow.holding == Holding::Open;
+            let was_open = flow.state == FlowState::Open;
             if !chosen_here(flow, segment) {
                 return Delivery::Elsewhere;
             }
-            flow.seen_ms = now_ms;
+            flow.last_seen_ms = now_ms;
             flow.caller_acknowledgement = segment.acknowledgement;
-            flow.caller_left |= segment.is_bare_end() && flow.running.is_some();
+            flow.has_caller_left |= segment.ends_without_data() && flow.running.is_some();
             if segment.resets && deadline.is_some() {
                 // Its caller has left, and the backend server need not answer any more.
                 flow.running = None;
             }
             // A packet that is sent again is no request of its own, also when its answer has begun.
-            if !flow.takes_new_data(segment) {
+            if !flow.record_new_data(segment) {
                 return Delivery::Known;
             }
-            flow.mixes_requests |= flow.running.is_some();
+            flow.has_ambiguous_requests |= flow.running.is_some();
             match &mut flow.running {
                 Some(running) => running.since_ms = now_ms,
                 None if is_held_back && was_open => return Delivery::Waits,
-                None => flow.running = Some(Running::new(request_id(packet), counts_ms, now_ms)),
+                None => flow.running = Some(RunningRequest::new(request_id(packet), counts_ms, now_ms)),
             }
             Delivery::Handed
         });
@@ -126,12 +126,12 @@
     ) {
         let now_ms = scene.now_ms;
         let is_due = self.flows.update(key, now_ms, |flow| {
-            let was_told = flow.told_opened.is_some_and(|(told, told_ms)| {
+            let was_told = flow.last_opened_notice.is_some_and(|(told, told_ms)| {
                 told == balancer && now_ms < told_ms + TELL_OPENED_AGAIN_MS
             });
             let is_due = flow.has_opened() && !was_told;
             if is_due {
-                flow.told_opened = Some((balancer, now_ms));
+                flow.last_opened_notice = Some((balancer, now_ms));
             }
             is_due
         });
@@ -149,15 +149,15 @@
         scene: &Scene<'_>,
         segment: &Segment,
         packet: &[u8],
-        origin: Origin,
+        source: PacketSource,
         actions: &mut Vec<Action>,
     ) {
         let key = segment.flow_from_caller();
-        let holding = Holding::Unconfirmed {
+        let state = FlowState::Unconfirmed {
             since_ms: scene.now_ms,
-            origin,
+            source,
         };
-        let mut flow = Flow::new(holding, scene.now_ms);
+        let mut flow = Flow::new(state, scene.now_ms);
         flow.caller_acknowledgement = segment.acknowledgement;
         if self.remember(key, flow, scene.now_ms) {
             self.pending.push(key);
@@ -169,27 +169,27 @@
 /// Returns how long a request without an answer counts as work, in milliseconds: as long as its caller waits, where
 /// that is told.
 pub(super) fn counts_ms(deadline: Option<Deadline>) -> u64 {
-    deadline.map_or(ABANDONED_MS, |deadline| deadline.timeout_ms.into())
+    deadline.map_or(REQUEST_BUSY_TIMEOUT_MS, |deadline| deadline.timeout_ms.into())
 }
 
 /// Tells whether a caller's packet belongs to a flow that is held here, and opens it if so.
 ///
 /// The caller opens a flow at the backend server whose number it acknowledges first.
 fn chosen_here(flow: &mut Flow, segment: &Segment) -> bool {
-    match &flow.holding {
-        Holding::Open | Holding::Unconfirmed { .. } => true,
-        Holding::Elsewhere(_) | Holding::Absent => false,
-        Holding::Opening(opening) => {
+    match &flow.state {
+        FlowState::Open | FlowState::Unconfirmed { .. } => true,
+        FlowState::Elsewhere(_) | FlowState::Absent => false,
+        FlowState::Opening(opening) => {
             let chosen = segment
                 .acknowledgement
                 .wrapping_sub(opening.backend_sequence)
                 <= 1;
-            if opening.answered && !chosen {
-                flow.holding = Holding::Absent;
+            if opening.is_answered && !chosen {
+                flow.state = FlowState::Absent;
                 return false;
             }
-            flow.shown = opening.answered;
-            flow.holding = Holding::Open;
+            flow.is_confirmed = opening.is_answered;
+            flow.state = FlowState::Open;
             true
         }
     }
--- a/src/opaque/keeper/handing_on.rs
+++ b/src/opaque/keeper/handing_on.rs
@@ -3,7 +3,7 @@
 use std::net::Ipv4Addr;
 
 use crate::code::Code;
-use crate::opaque::finding::flow::Opening;
+use crate::opaque::flows::flow::PendingOpener;
 use crate::opaque::keeper::opener_limits::LAST_COPY;
 use crate::opaque::keeper::openers::NotTaken;
 use crate::opaque::keeper::{Keeper, Scene};
@@ -27,7 +27,7 @@
         &self,
         scene: &Scene<'_>,
         key: &FlowKey,
-        opening: Opening,
+        opening: PendingOpener,
         actions: &mut Vec<Action>,
     ) {
         let next = next_host(scene, self.identity.host, key, opening.hops, MAX_HOPS);
@@ -56,7 +56,7 @@
         &self,
         scene: &Scene<'_>,
         key: &FlowKey,
-        opening: Opening,
+        opening: PendingOpener,
         next: Option<Ipv4Addr>,
         actions: &mut Vec<Action>,
     ) {
--- a/src/opaque/keeper/held_requests.rs
+++ b/src/opaque/keeper/held_requests.rs
@@ -5,7 +5,7 @@
 //! it. Here the urgent goes first and nothing is refused. What waits is handed over whole and in order while its
 //! caller waits. See docs/design/waiting-openers.md.
 
-use crate::opaque::finding::flow::{Holding, Running, is_after};
+use crate::opaque::flows::flow::{FlowState, RunningRequest, is_after};
 use crate::opaque::keeper::delivery::counts_ms;
 use crate::opaque::keeper::waiting::{WaitingWork, WorkKind, waiting_of};
 use crate::opaque::keeper::{Keeper, Scene};
@@ -34,7 +34,7 @@
             return false;
         }
         let most = self.handed_at_most(slots, deadline.objective_ms, scene.now_ms);
-        let is_full = f64::from(self.flows.busy_now(scene.now_ms)) >= most;
+        let is_full = f64::from(self.flows.fresh_busy_requests(scene.now_ms)) >= most;
         // What is published is searched for each packet only where there is no room.
         is_full && self.admits_any(scene).is_ok()
     }
@@ -122,18 +122,18 @@
                 "event=request_dequeued request={} flow={key} waited_ms={waited_ms} waiting={} busy={}",
                 id.as_deref().unwrap_or("unknown"),
                 self.waiting.len(),
-                self.flows.busy()
+                self.flows.busy_requests()
             );
         }
         let counts_ms = counts_ms(scene.directory.deadline(key.called));
         let decode = self.wire.decode;
         let segments = packets.iter().filter_map(|packet| decode(packet).ok());
         let segments: Vec<Segment> = segments.collect();
-        let caller_left = segments.iter().any(Segment::is_bare_end);
+        let caller_left = segments.iter().any(Segment::ends_without_data);
         self.flows.update(key, scene.now_ms, |flow| {
-            flow.caller_left |= caller_left;
-            if flow.holding == Holding::Open && flow.running.is_none() {
-                flow.running = Some(Running::new(id.as_deref(), counts_ms, scene.now_ms));
+            flow.has_caller_left |= caller_left;
+            if flow.state == FlowState::Open && flow.running.is_none() {
+                flow.running = Some(RunningRequest::new(id.as_deref(), counts_ms, scene.now_ms));
             }
         });
         for segment in &segments {
--- a/src/opaque/keeper/opener_checks.rs
+++ b/src/opaque/keeper/opener_checks.rs
@@ -1,6 +1,6 @@
 //! Whether the backend server may be handed a new flow now.
 
-use crate::opaque::finding::flow::Opening;
+use crate::opaque::flows::flow::PendingOpener;
 use crate::opaque::keeper::handing_on::MAX_HOPS;
 use crate::opaque::keeper::opener_limits::OwnPlace;
 use crate::opaque::keeper::openers::NotTaken;
@@ -19,7 +19,7 @@
         &mut self,
         scene: &Scene<'_>,
         key: &FlowKey,
-        opening: &Opening,
+        opening: &PendingOpener,
         place: &OwnPlace,
     ) -> Result<(), NotTaken> {
         self.is_running()?;
@@ -48,8 +48,8 @@
             return self.probe(scene, NotTaken::Failing);
         }
         let busy = match place.deadline {
-            Some(_) => self.flows.busy_now(scene.now_ms),
-            None => self.flows.busy(),
+            Some(_) => self.flows.fresh_busy_requests(scene.now_ms),
+            None => self.flows.busy_requests(),
         };
         if place.limit.is_some_and(|limit| f64::from(busy) >= limit) {
             return Err(NotTaken::Crowded);
@@ -93,11 +93,11 @@
     /// Tells whether the backend server is warm, or may be handed one more flow while it is cold.
     pub(super) fn has_cold_rate(&mut self, scene: &Scene<'_>) -> bool {
         let flows_per_s = self.cold_flows_per_s(scene);
-        flows_per_s.is_none_or(|flows_per_s| self.cold_rate.has_room(flows_per_s, scene.now_ms))
+        flows_per_s.is_none_or(|flows_per_s| self.cold_rate.has_token(flows_per_s, scene.now_ms))
     }
 
     /// Tells whether an opener should rather go to an agent that has not been offered it.
-    fn others_may_do_better(&self, scene: &Scene<'_>, key: &FlowKey, opening: &Opening) -> bool {
+    fn others_may_do_better(&self, scene: &Scene<'_>, key: &FlowKey, opening: &PendingOpener) -> bool {
         let hops = opening.hops;
         let next = next_host(scene, self.identity.host, key, hops, MAX_HOPS);
         hops < FAILING_HOPS && next.is_some()
--- a/src/opaque/keeper/opener_limits.rs
+++ b/src/opaque/keeper/opener_limits.rs
@@ -1,7 +1,7 @@
 //! How many requests a backend server may have for one more opener.
 
 use crate::config::deadlines::{Deadline, UNANSWERED_ATTEMPT_MS};
-use crate::opaque::finding::flow::Opening;
+use crate::opaque::flows::flow::PendingOpener;
 use crate::opaque::keeper::{Keeper, Scene};
 use crate::opaque::packets::message::MessageKind;
 use crate::opaque::packets::segment::FlowKey;
@@ -45,7 +45,7 @@
     pub(super) deadline: Option<Deadline>,
 }
 
-impl Opening {
+impl PendingOpener {
     /// Returns for how long its caller has waited, in milliseconds.
     pub(super) fn age_ms(&self) -> u64 {
         self.copy_age_ms() + u64::from(self.waited_ms)
@@ -69,7 +69,7 @@
         &self,
         scene: &Scene<'_>,
         key: &FlowKey,
-        opening: &Opening,
+        opening: &PendingOpener,
         kind: MessageKind,
     ) -> OwnPlace {
         let is_cold = self.is_cold(scene);
--- a/src/opaque/keeper/openers.rs
+++ b/src/opaque/keeper/openers.rs
@@ -1,7 +1,7 @@
 //! Openers: which the agent takes, and where the others go.
 
 use crate::config::deadlines::Deadline;
-use crate::opaque::finding::flow::{EXPECTED_MS, EXPECTED_SOON_MS, Flow, Holding, Opening};
+use crate::opaque::flows::flow::{OPENER_BUSY_TIMEOUT_MS, DEADLINE_OPENER_BUSY_TIMEOUT_MS, Flow, FlowState, PendingOpener};
 use crate::opaque::keeper::declines::Declined;
 use crate::opaque::keeper::opener_limits::OwnPlace;
 use crate::opaque::keeper::{Keeper, Scene, say_holds, tell};
@@ -107,8 +107,8 @@
         message: &Message,
         actions: &mut Vec<Action>,
     ) -> bool {
-        let known = self.flows.get(key).map(|flow| &flow.holding);
-        let is_handed_over = matches!(known, Some(Holding::Opening(_) | Holding::Open));
+        let known = self.flows.get(key).map(|flow| &flow.state);
+        let is_handed_over = matches!(known, Some(FlowState::Opening(_) | FlowState::Open));
         if !is_handed_over && !self.is_waiting_at(key) {
             return false;
         }
@@ -124,7 +124,7 @@
         &mut self,
         scene: &Scene<'_>,
         key: &FlowKey,
-        opening: Opening,
+        opening: PendingOpener,
         deadline: &Deadline,
         message: &Message,
         actions: &mut Vec<Action>,
@@ -142,7 +142,7 @@
         &self,
         scene: &Scene<'_>,
         key: &FlowKey,
-        opening: &Opening,
+        opening: &PendingOpener,
         place: &OwnPlace,
         reason: NotTaken,
     ) {
@@ -151,7 +151,7 @@
             opening.copy,
             opening.waited_ms,
             opening.hops,
-            self.flows.busy(),
+            self.flows.busy_requests(),
             place.limit.unwrap_or_default(),
             place.is_cold,
             scene.revision
@@ -163,26 +163,26 @@
         &mut self,
         scene: &Scene<'_>,
         key: &FlowKey,
-        opening: Opening,
+        opening: PendingOpener,
         actions: &mut Vec<Action>,
     ) -> bool {
-        self.cold_rate.take();
+        self.cold_rate.take_token();
         let packet = opening.packet.clone();
         log::info!(
             "event=opener_taken flow={key} copy={} waited_ms={} hops={} busy={} open={} revision={}",
             opening.copy,
             opening.waited_ms,
             opening.hops,
-            self.flows.busy(),
-            self.flows.open(),
+            self.flows.busy_requests(),
+            self.flows.open_flows(),
             scene.revision
         );
-        let flow = Flow::new(Holding::Opening(opening), scene.now_ms);
+        let flow = Flow::new(FlowState::Opening(opening), scene.now_ms);
         if !self.remember(*key, flow, scene.now_ms) {
             return false;
         }
         self.metrics.openers_taken.inc();
-        self.lookups.forget(key);
+        self.lookups.cancel(key);
         self.pending.push(*key);
         actions.push(Action::ToBackend(packet));
         true
@@ -190,17 +190,17 @@
 }
 
 /// Returns an opener as it came with a message.
-fn opening_of(scene: &Scene<'_>, segment: &Segment, packet: &[u8], message: &Message) -> Opening {
+fn opening_of(scene: &Scene<'_>, segment: &Segment, packet: &[u8], message: &Message) -> PendingOpener {
     let deadline = scene.directory.deadline(segment.destination);
-    Opening {
+    PendingOpener {
         since_ms: scene.now_ms,
         packet: packet.to_vec(),
         balancer: message.host,
         hops: message.hops,
         copy: segment.acknowledgement,
         waited_ms: message.waited_ms,
-        expected_ms: deadline.map_or(EXPECTED_MS, |_| EXPECTED_SOON_MS),
-        answered: false,
+        busy_timeout_ms: deadline.map_or(OPENER_BUSY_TIMEOUT_MS, |_| DEADLINE_OPENER_BUSY_TIMEOUT_MS),
+        is_answered: false,
         backend_sequence: 0,
     }
 }
--- a/src/opaque/keeper/questions.rs
+++ b/src/opaque/keeper/questions.rs
@@ -3,10 +3,10 @@
 use std::net::Ipv4Addr;
 
 use crate::code::Code;
-use crate::opaque::finding::flow::{Flow, Holding, Origin};
-use crate::opaque::finding::lookup::{FIRST_ASKED, Question, Verdict};
+use crate::opaque::flows::flow::{Flow, FlowState, PacketSource};
+use crate::opaque::flows::lookup::{FIRST_QUERIED, LookupPacket, LookupOutcome};
 use crate::opaque::keeper::{Keeper, Scene, say_holds, tell};
-use crate::opaque::openers::opener_order::likely_hosts;
+use crate::opaque::openers::opener_order::likely_holders;
 use crate::opaque::packets::action::Action;
 use crate::opaque::packets::message::{Message, MessageKind};
 use crate::opaque::packets::segment::{FlowKey, Segment};
@@ -25,8 +25,8 @@
             return;
         }
         let own = self.identity.host;
-        let likely = || likely_hosts(scene, own, &segment.flow_from_caller(), FIRST_ASKED);
-        let question = Question {
+        let likely = || likely_holders(scene, own, &segment.flow_from_caller(), FIRST_QUERIED);
+        let question = LookupPacket {
             segment,
             packet,
             balancer,
@@ -56,7 +56,7 @@
             return;
         }
         if self.flows.get(&key).is_none() && !self.knows_all && self.backend_up {
-            self.try_backend(scene, segment, packet, Origin::Asker(asker), actions);
+            self.try_backend(scene, segment, packet, PacketSource::AskingAgent(asker), actions);
         } else {
             tell(MessageKind::Absent, &key, asker, actions);
         }
@@ -73,12 +73,12 @@
         let Some(key) = FlowKey::from_bytes(payload) else {
             return;
         };
-        let Some(lookup) = self.lookups.found(&key) else {
+        let Some(lookup) = self.lookups.finish(&key) else {
             return;
         };
         log::info!("event=flow_found flow={key} host={from}");
         say_holds(&key, lookup.balancer, from, actions);
-        let flow = Flow::new(Holding::Elsewhere(from), scene.now_ms);
+        let flow = Flow::new(FlowState::Elsewhere(from), scene.now_ms);
         self.remember(key, flow, scene.now_ms);
     }
 
@@ -87,9 +87,9 @@
         if !scene.settled {
             return;
         }
-        let verdict = self.lookups.verdict(key, scene.directory, scene.revision);
-        if let Verdict::Nowhere { acknowledgement } = verdict {
-            let waited_ms = self.lookups.open_for_ms(key, scene.now_ms);
+        let verdict = self.lookups.outcome(key, scene.directory, scene.revision);
+        if let LookupOutcome::NotHeld { acknowledgement } = verdict {
+            let waited_ms = self.lookups.age_ms(key, scene.now_ms);
             self.end_gone(scene, key, acknowledgement, waited_ms, actions);
         }
     }
@@ -103,7 +103,7 @@
         waited_ms: u64,
         actions: &mut Vec<Action>,
     ) {
-        self.lookups.forget(key);
+        self.lookups.cancel(key);
         let route = scene.directory.routes().get(key.called);
         if route.is_some_and(|route| route.repeatable) {
             self.tell_attempt_failed(scene, key, waited_ms, actions);
--- a/src/opaque/keeper/stall.rs
+++ b/src/opaque/keeper/stall.rs
@@ -45,7 +45,7 @@
                 "event=backend_stalled silent_ms={} waiting={} slots={slots} open={} revision={}",
                 stall.silent_ms,
                 stall.waiting,
-                self.flows.open(),
+                self.flows.open_flows(),
                 scene.revision
             );
         }
@@ -68,8 +68,8 @@
         log::info!(
             "event=stalled_flows_reset flows={} open={} busy={}",
             ended.len(),
-            self.flows.open(),
-            self.flows.busy()
+            self.flows.open_flows(),
+            self.flows.busy_requests()
         );
         for flow in ended {
             self.reset(
@@ -104,7 +104,7 @@
         if let Some(stalled_ms) = self.stall.served(key, now_ms) {
             log::warn!(
                 "event=backend_recovered stalled_ms={stalled_ms} busy={}",
-                self.flows.busy()
+                self.flows.busy_requests()
             );
             self.forget_what_hung();
         }
@@ -113,8 +113,8 @@
     /// Forgets load and failures of a stall, which would keep a backend server idle for seconds that works again.
     fn forget_what_hung(&mut self) {
         self.forget_slot_times();
-        self.load = MeanLoad::over(RECENT_SPAN_MS);
-        self.steady_load = MeanLoad::over(STEADY_SPAN_MS);
+        self.load = MeanLoad::new(RECENT_SPAN_MS);
+        self.steady_load = MeanLoad::new(STEADY_SPAN_MS);
         self.outcomes = RecentOutcomes::default();
         self.failing = false;
     }
@@ -129,7 +129,7 @@
 
     /// Tells whether a backend server that has just come back has as much to do as it should have by now.
     pub(super) fn is_refilled(&self, limit: Option<f64>, now_ms: u64) -> bool {
-        let busy = f64::from(self.flows.busy());
+        let busy = f64::from(self.flows.busy_requests());
         limit.is_some_and(|limit| busy >= self.stall.room(limit, now_ms))
     }
 }
--- a/src/opaque/keeper/waiting.rs
+++ b/src/opaque/keeper/waiting.rs
@@ -8,7 +8,7 @@
 use crate::decisions::service_time::wait_ms;
 use crate::decisions::wait_queue::{Pace, WaitQueue, Waiting};
 use crate::decisions::waiting::Prospect;
-use crate::opaque::finding::flow::Opening;
+use crate::opaque::flows::flow::PendingOpener;
 use crate::opaque::keeper::{Keeper, Scene, tell};
 use crate::opaque::packets::action::Action;
 use crate::opaque::packets::message::MessageKind;
@@ -38,7 +38,7 @@
 #[derive(Debug, Clone)]
 pub(super) enum WorkKind {
     /// A flow that has not opened.
-    Opener(Opening),
+    Opener(PendingOpener),
     /// The packets of a request on an open flow, in the order of their bytes.
     Request(Vec<Vec<u8>>),
 }
@@ -54,14 +54,14 @@
     pub(super) fn note_slots(&mut self, scene: &Scene<'_>) {
         let slots = self.own_slots(scene).unwrap_or_default();
         self.slot_time
-            .changed(self.flows.busy(), slots, scene.now_ms);
+            .changed(self.flows.busy_requests(), slots, scene.now_ms);
     }
 
     /// Tells whether the backend server has reason to refuse a request for want of room.
     pub(super) fn is_full(&self, scene: &Scene<'_>, key: &FlowKey) -> bool {
         let is_limited = scene.directory.has_deadline(key.called);
         let slots = self.own_slots(scene);
-        is_limited && slots.is_some_and(|slots| self.flows.busy() >= slots)
+        is_limited && slots.is_some_and(|slots| self.flows.busy_requests() >= slots)
     }
 
     /// Returns for how long a new flow would wait for a slot, in milliseconds.
@@ -75,7 +75,7 @@
 
     /// Returns for how long something waits for a slot that `before` others of those that wait go before.
     fn wait_behind_ms(&mut self, scene: &Scene<'_>, slots: u32, before: u32) -> u64 {
-        let there = self.flows.busy_now(scene.now_ms) + before;
+        let there = self.flows.fresh_busy_requests(scene.now_ms) + before;
         let ahead = (there + 1).saturating_sub(slots);
         wait_ms(ahead, self.slot_time.service_ms(), slots)
     }
@@ -128,10 +128,10 @@
         &mut self,
         scene: &Scene<'_>,
         key: &FlowKey,
-        opening: Opening,
+        opening: PendingOpener,
         deadline: &Deadline,
         actions: &mut Vec<Action>,
-    ) -> Result<(), Opening> {
+    ) -> Result<(), PendingOpener> {
         let balancer = opening.balancer;
         let waiting = opener_of(scene, key, &opening, deadline);
         let prospect = self.prospect(scene, &waiting, &opening, deadline);
@@ -144,7 +144,7 @@
             self.waiting.len(),
             prospect.wait_ms,
             waiting.due_ms.saturating_sub(scene.now_ms),
-            self.flows.busy(),
+            self.flows.busy_requests(),
             self.own_slots(scene).unwrap_or_default(),
             scene.revision
         );
@@ -169,7 +169,7 @@
         &mut self,
         scene: &Scene<'_>,
         waiting: &Waiting<WaitingWork>,
-        opening: &Opening,
+        opening: &PendingOpener,
         deadline: &Deadline,
     ) -> Prospect {
         let slots = self.own_slots(scene).unwrap_or_default();
@@ -239,7 +239,7 @@
     /// Tells whether the backend server may be handed something that waits.
     fn has_room(&mut self, scene: &Scene<'_>, slots: u32) -> bool {
         let objective_ms = self.pace(slots).objective_ms;
-        let busy = f64::from(self.flows.busy_now(scene.now_ms));
+        let busy = f64::from(self.flows.fresh_busy_requests(scene.now_ms));
         busy < self.handed_at_most(slots, objective_ms, scene.now_ms)
     }
 
@@ -266,7 +266,7 @@
             WorkKind::Opener(mut opening) => {
                 log::info!(
                     "event=opener_dequeued flow={key} waited_ms={waited_ms} busy={} slots={} service_ms={:.1}",
-                    self.flows.busy(),
+                    self.flows.busy_requests(),
                     self.own_slots(scene).unwrap_or_default(),
                     self.slot_time.service_ms()
                 );
@@ -339,7 +339,7 @@
         &self,
         scene: &Scene<'_>,
         key: &FlowKey,
-        opening: &Opening,
+        opening: &PendingOpener,
         reason: &str,
         actions: &mut Vec<Action>,
     ) {
@@ -349,7 +349,7 @@
         log::info!(
             "event=opener_refused flow={key} reason={reason} waited_ms={waited_ms} age_ms={age_ms} waiting={} busy={} slots={} code={} revision={}",
             self.waiting.len(),
-            self.flows.busy(),
+            self.flows.busy_requests(),
             self.own_slots(scene).unwrap_or_default(),
             Code::NoRoom.number(),
             scene.revision
@@ -368,7 +368,7 @@
 }
 
 /// Returns an opener that has waited here, as others should see it.
-fn aged(mut opening: Opening, waited_ms: u64) -> Opening {
+fn aged(mut opening: PendingOpener, waited_ms: u64) -> PendingOpener {
     let waited_ms = u16::try_from(waited_ms).unwrap_or(u16::MAX);
     opening.waited_ms = opening.waited_ms.saturating_add(waited_ms);
     opening
@@ -378,7 +378,7 @@
 fn opener_of(
     scene: &Scene<'_>,
     key: &FlowKey,
-    opening: &Opening,
+    opening: &PendingOpener,
     deadline: &Deadline,
 ) -> Waiting<WaitingWork> {
     let age_ms = opening.age_ms();
--- a/src/opaque/mod.rs
+++ b/src/opaque/mod.rs
@@ -4,10 +4,10 @@
 //! that lives here: nothing is proof of where a flow is but its backend server, and without proof no flow is
 //! reset. Decisions stand in plain structs that are told the time and do no input or output: the balancer's
 //! in `forwarder`, the agent's in `keeper`. What they read stands in `openers` (whom to take and where others go),
-//! `finding` (where a flow is) and `values` (what is published); what they send in `packets`. Around them stand the
+//! `flows` (where a flow is) and `values` (what is published); what they send in `packets`. Around them stand the
 //! processes, in `processes`. `quic` is not used.
 
-mod finding;
+mod flows;
 mod forwarder;
 mod keeper;
 mod openers;
@@ -25,12 +25,12 @@
 pub use crate::config::route_diff::{RouteChange, route_changes};
 pub use crate::config::route_table::{ROUTES_HEADER, ROUTES_NAME, Route, RouteShare, RouteTable};
 pub use crate::config::service_names::{SERVICES_NAME, service_names, services_text};
-pub use crate::opaque::finding::flow_search::FlowSearch;
-pub use crate::opaque::finding::lookup::{Lookups, Question, Verdict};
-pub use crate::opaque::forwarder::{Forwarder, steady_load, told_wait};
+pub use crate::opaque::flows::flow_search::FlowSearch;
+pub use crate::opaque::flows::lookup::{Lookups, LookupPacket, LookupOutcome};
+pub use crate::opaque::forwarder::{Forwarder, decode_steady_load, decode_wait_ms};
 pub use crate::opaque::keeper::{Keeper, KeeperIdentity, Scene};
 pub use crate::opaque::packets::action::Action;
-pub use crate::opaque::packets::message::{Message, MessageKind, UNKNOWN_AGE_MS, UNKNOWN_LOAD};
+pub use crate::opaque::packets::message::{Message, MessageKind, UNKNOWN_AGE_MS, UNKNOWN_LOAD_PERMILLE};
 pub use crate::opaque::packets::segment::{FlowKey, Segment, WireFormat};
 pub use crate::opaque::values::backend_change::BackendChange;
 pub use crate::opaque::values::directory::Directory;
--- a/src/opaque/openers/candidates.rs
+++ b/src/opaque/openers/candidates.rs
@@ -23,7 +23,7 @@
 /// # Errors
 ///
 /// Returns code 4006 where no backend server takes flows; the order is never empty.
-pub(crate) fn in_order(
+pub(crate) fn by_preference(
     directory: &Directory,
     suspicion: &Suspicion,
     zone: &str,
@@ -47,7 +47,7 @@
 /// # Errors
 ///
 /// Returns code 4006 where no backend server takes flows.
-pub(crate) fn asked(
+pub(crate) fn for_offers(
     directory: &Directory,
     suspicion: &Suspicion,
     zone: &str,
@@ -89,14 +89,14 @@
 }
 
 /// Tells whether only evacuations keep a flow from being taken.
-pub(crate) fn are_evacuated(directory: &Directory, flow: &FlowKey) -> bool {
+pub(crate) fn is_service_evacuated(directory: &Directory, flow: &FlowKey) -> bool {
     let service = directory.service_of(flow);
     service.is_some_and(|service| directory.is_evacuated_service(service))
 }
 
 /// Returns the first agent by hash of a flow's service, whether it takes new flows or not: it can find out who
 /// holds the flow.
-pub(crate) fn any_agent(directory: &Directory, flow: &FlowKey) -> Option<Ipv4Addr> {
+pub(crate) fn first_agent(directory: &Directory, flow: &FlowKey) -> Option<Ipv4Addr> {
     let table = directory.table_of(flow)?;
     let ranked = placement::ranked_by_slots(table, flow.hash(), |_| true);
     ranked.first().map(|row| row.host)
--- a/src/opaque/openers/cold_rate.rs
+++ b/src/opaque/openers/cold_rate_limiter.rs
@@ -17,14 +17,14 @@
 /// It starts empty: the agent before this one may have just handed over as much as a full one allows. So in any
 /// second no more than 1.25 times the rate and one flow pass, restarts of the agent included.
 #[derive(Debug, Default)]
-pub(crate) struct ColdRate {
+pub(crate) struct ColdRateLimiter {
     tokens: f64,
     filled_ms: Option<u64>,
 }
 
-impl ColdRate {
+impl ColdRateLimiter {
     /// Tells whether a new flow may be handed over now.
-    pub(crate) fn has_room(&mut self, flows_per_s: f64, now_ms: u64) -> bool {
+    pub(crate) fn has_token(&mut self, flows_per_s: f64, now_ms: u64) -> bool {
         let filled_ms = self.filled_ms.replace(now_ms).unwrap_or(now_ms);
         let passed_ms = now_ms.saturating_sub(filled_ms) as f64;
         let most = (flows_per_s * BURST_S).max(MIN_BURST);
@@ -39,7 +39,7 @@
     }
 
     /// Notes that a new flow was handed over.
-    pub(crate) fn take(&mut self) {
+    pub(crate) fn take_token(&mut self) {
         self.tokens = (self.tokens - 1.0).max(0.0);
     }
 }
--- a/src/opaque/openers/known_loads.rs
+++ b/src/opaque/openers/host_loads.rs
@@ -2,7 +2,7 @@
 
 use std::net::Ipv4Addr;
 
-use crate::opaque::packets::message::UNKNOWN_LOAD;
+use crate::opaque::packets::message::UNKNOWN_LOAD_PERMILLE;
 
 /// The age at which a load no longer counts for a choice of two, in milliseconds: twice the time over which
 /// it is a mean.
@@ -19,14 +19,14 @@
 
 /// The newest load heard of each host, sorted by host.
 #[derive(Debug, Default)]
-pub(crate) struct KnownLoads {
+pub(crate) struct HostLoads {
     loads: Vec<(Ipv4Addr, u16, u64)>,
 }
 
-impl KnownLoads {
+impl HostLoads {
     /// Notes what a message told of its sender's load.
-    pub(crate) fn heard(&mut self, host: Ipv4Addr, permille: u16, now_ms: u64) {
-        if permille == UNKNOWN_LOAD {
+    pub(crate) fn record(&mut self, host: Ipv4Addr, permille: u16, now_ms: u64) {
+        if permille == UNKNOWN_LOAD_PERMILLE {
             return;
         }
         match self.loads.binary_search_by_key(&host, |load| load.0) {
@@ -36,7 +36,7 @@
     }
 
     /// Tells whether a flow should rather go to `second` than to `first`.
-    pub(crate) fn prefers(&self, second: Ipv4Addr, first: Ipv4Addr, now_ms: u64) -> bool {
+    pub(crate) fn is_less_loaded(&self, second: Ipv4Addr, first: Ipv4Addr, now_ms: u64) -> bool {
         match (self.get(second, now_ms), self.get(first, now_ms)) {
             (Some(second), Some(first)) => second.saturating_add(MARGIN_PERMILLE) < first,
             _ => false,
@@ -44,7 +44,7 @@
     }
 
     /// Returns the mean load of those of the hosts that were heard of lately, where they are enough to tell.
-    pub(crate) fn mean(&self, hosts: impl Iterator<Item = Ipv4Addr>, now_ms: u64) -> Option<u16> {
+    pub(crate) fn mean_permille(&self, hosts: impl Iterator<Item = Ipv4Addr>, now_ms: u64) -> Option<u16> {
         let (mut sum, mut count) = (0, 0);
         for permille in hosts.filter_map(|host| self.newer_than(host, MEAN_MAX_AGE_MS, now_ms)) {
             sum += u32::from(permille);
--- a/src/opaque/openers/mean_load.rs
+++ b/src/opaque/openers/mean_load.rs
@@ -9,7 +9,7 @@
 
 /// The load that is told of a backend server which fails, in thousandths: far above any load that
 /// differs in what follows from it.
-pub(crate) const FAILING_LOAD: u16 = 60_000;
+pub(crate) const FAILING_LOAD_PERMILLE: u16 = 60_000;
 
 /// For how long a mean must have been kept to tell anything, in milliseconds: dozens of requests of a busy
 /// server, and those of its cold start are behind it.
@@ -29,7 +29,7 @@
 
 impl MeanLoad {
     /// Begins a mean over a time.
-    pub(crate) fn over(span_ms: f64) -> Self {
+    pub(crate) fn new(span_ms: f64) -> Self {
         Self {
             span_ms,
             sum: 0.0,
@@ -41,7 +41,7 @@
     }
 
     /// Notes that `busy` requests are there from now on.
-    pub(crate) fn changed(&mut self, busy: u32, now_ms: u64) {
+    pub(crate) fn update(&mut self, busy: u32, now_ms: u64) {
         if self.since_ms.is_none() {
             self.since_ms = Some(now_ms);
             self.at_ms = now_ms;
@@ -57,19 +57,19 @@
     /// Returns the mean for each of `slots`, in thousandths, as if nothing had been there before it was begun.
     pub(crate) fn permille(&self, slots: u32) -> u16 {
         let permille = 1_000.0 * self.sum / f64::from(slots.max(1));
-        permille.min(f64::from(FAILING_LOAD)) as u16
+        permille.min(f64::from(FAILING_LOAD_PERMILLE)) as u16
     }
 
     /// Returns the mean of the time since it was begun for each of `slots`, in thousandths, once that is long
     /// enough to tell.
     ///
     /// Without this, a process that started seconds ago would look idle beside the others.
-    pub(crate) fn permille_since_begun(&self, slots: u32) -> Option<u16> {
+    pub(crate) fn permille_since_start(&self, slots: u32) -> Option<u16> {
         let since_ms = self.since_ms?;
         if self.at_ms < since_ms + MIN_KEPT_MS {
             return None;
         }
         let permille = 1_000.0 * self.sum / self.weight / f64::from(slots.max(1));
-        Some(permille.min(f64::from(FAILING_LOAD - 1)) as u16)
+        Some(permille.min(f64::from(FAILING_LOAD_PERMILLE - 1)) as u16)
     }
 }
--- a/src/opaque/openers/opener_order.rs
+++ b/src/opaque/openers/opener_order.rs
@@ -56,7 +56,7 @@
 
 /// Returns the agents but `own` that are first in the order of a flow, at most `count`: one of them likely
 /// holds it, since openers are placed and passed on along that order.
-pub(crate) fn likely_hosts(
+pub(crate) fn likely_holders(
     scene: &Scene<'_>,
     own: Ipv4Addr,
     key: &FlowKey,
--- a/src/opaque/openers/recent_outcomes.rs
+++ b/src/opaque/openers/recent_outcomes.rs
@@ -22,14 +22,14 @@
 
 impl RecentOutcomes {
     /// Notes that a request was answered.
-    pub(crate) fn note_served(&mut self, now_ms: u64) {
+    pub(crate) fn record_served(&mut self, now_ms: u64) {
         self.decay(now_ms);
         self.served += 1.0;
         self.in_a_row = 0;
     }
 
     /// Notes that a request failed.
-    pub(crate) fn note_failed(&mut self, now_ms: u64) {
+    pub(crate) fn record_failed(&mut self, now_ms: u64) {
         self.decay(now_ms);
         self.failed += 1.0;
         self.in_a_row += 1;
--- a/src/opaque/openers/expected_retries.rs
+++ b/src/opaque/openers/retry_tracker.rs
@@ -7,7 +7,7 @@
 
 use std::net::Ipv4Addr;
 
-use crate::opaque::finding::flow_map::FlowMap;
+use crate::opaque::flows::flow_map::FlowMap;
 use crate::opaque::packets::segment::FlowKey;
 
 /// How soon after a failed attempt its caller's next opener counts as the retry, in milliseconds. Callers
@@ -37,12 +37,12 @@
 
 /// Attempts that failed a moment ago, in the order in which they did, and the openers taken for their retries.
 #[derive(Debug)]
-pub(crate) struct ExpectedRetries {
+pub(crate) struct RetryTracker {
     failed: Vec<Failed>,
     waits: FlowMap<Wait>,
 }
 
-impl ExpectedRetries {
+impl RetryTracker {
     pub(crate) fn new() -> Self {
         Self {
             failed: Vec::new(),
@@ -51,7 +51,7 @@
     }
 
     /// Notes that an attempt of a caller failed after it had waited for so long in all.
-    pub(crate) fn attempt_failed(&mut self, caller: Ipv4Addr, waited_ms: u64, now_ms: u64) {
+    pub(crate) fn record_failure(&mut self, caller: Ipv4Addr, waited_ms: u64, now_ms: u64) {
         self.failed.retain(|failed| failed.is_awaited(now_ms));
         if self.failed.len() < MAX_REMEMBERED {
             self.failed.push(Failed {
--- a/src/opaque/openers/service_means.rs
+++ b/src/opaque/openers/service_means.rs
@@ -2,8 +2,8 @@
 
 use crate::config::service_id::ServiceId;
 use crate::config::table::Table;
-use crate::opaque::openers::known_loads::KnownLoads;
-use crate::opaque::packets::message::UNKNOWN_LOAD;
+use crate::opaque::openers::host_loads::HostLoads;
+use crate::opaque::packets::message::UNKNOWN_LOAD_PERMILLE;
 
 /// How long a mean is told before it is worked out anew, in milliseconds: it changes over seconds, and each
 /// time all backend servers of the service are looked up.
@@ -26,12 +26,12 @@
 }
 
 impl ServiceMeans {
-    /// Returns the mean load of a service's backend servers in thousandths, or [`UNKNOWN_LOAD`].
+    /// Returns the mean load of a service's backend servers in thousandths, or [`UNKNOWN_LOAD_PERMILLE`].
     pub(crate) fn permille(
         &mut self,
         service: ServiceId,
         table: &Table,
-        loads: &KnownLoads,
+        loads: &HostLoads,
         now_ms: u64,
     ) -> u16 {
         let found = self.means.binary_search_by_key(&service, |(id, _)| *id);
@@ -41,12 +41,12 @@
             return self.means[index].1.permille;
         }
         if table.rows.len() < MIN_SERVERS {
-            return UNKNOWN_LOAD;
+            return UNKNOWN_LOAD_PERMILLE;
         }
         let takers = table.rows.iter().filter(|row| row.weight > 0);
-        let permille = loads.mean(takers.map(|row| row.host), now_ms);
+        let permille = loads.mean_permille(takers.map(|row| row.host), now_ms);
         let mean = Mean {
-            permille: permille.unwrap_or(UNKNOWN_LOAD),
+            permille: permille.unwrap_or(UNKNOWN_LOAD_PERMILLE),
             since_ms: now_ms,
         };
         match found {
--- a/src/opaque/packets/message.rs
+++ b/src/opaque/packets/message.rs
@@ -58,14 +58,14 @@
     /// What it asks or says.
     pub kind: MessageKind,
     /// How many agents have passed an opener on; 0 for [`MessageKind::Offer`], where the byte carries
-    /// [`Message::most_wait_ms`].
+    /// [`Message::max_wait_ms`].
     pub hops: u8,
     /// Whether the flow is known to have opened at the host that a [`MessageKind::Holds`] names, or at the receiver of a
     /// [`MessageKind::Deliver`]: its backend server showed that it held it. Then no other one can hold it.
     pub has_opened: bool,
     /// Of [`MessageKind::Offer`], the longest wait for which the receiver takes it, in milliseconds; rounded down to
     /// whole [`OFFER_WAIT_UNIT_MS`], of which 255 fit.
-    pub most_wait_ms: u16,
+    pub max_wait_ms: u16,
     /// The balancer through which a packet came in; of [`MessageKind::Holds`], who holds the flow.
     pub host: Ipv4Addr,
     /// The sender's revisions.
@@ -74,10 +74,10 @@
     /// [`UNKNOWN_AGE_MS`] while it can't find out.
     pub age_ms: u32,
     /// For how long the sender does not yet take a backend server that is not published for gone, in
-    /// milliseconds, rounded up to the next [`UNSETTLED_UNIT_MS`].
-    pub unsettled_ms: u16,
+    /// milliseconds, rounded up to the next [`SETTLE_UNIT_MS`].
+    pub settle_remaining_ms: u16,
     /// The requests for each slot of the sender's backend server, over the last second, in
-    /// thousandths; [`UNKNOWN_LOAD`] from a process without one.
+    /// thousandths; [`UNKNOWN_LOAD_PERMILLE`] from a process without one.
     ///
     /// An opener from a balancer tells the mean of its service's backend servers over the last ten seconds here,
     /// where it may be declined.
@@ -91,12 +91,12 @@
 pub const UNKNOWN_AGE_MS: u32 = u32::MAX;
 
 /// The load of a process that has no backend server beside it.
-pub const UNKNOWN_LOAD: u16 = u16::MAX;
+pub const UNKNOWN_LOAD_PERMILLE: u16 = u16::MAX;
 
-/// The unit in which [`Message::unsettled_ms`] travels, in milliseconds.
-pub(crate) const UNSETTLED_UNIT_MS: u16 = 20;
+/// The unit in which [`Message::settle_remaining_ms`] travels, in milliseconds.
+pub(crate) const SETTLE_UNIT_MS: u16 = 20;
 
-/// The unit in which [`Message::most_wait_ms`] travels, in milliseconds: 255 of them are more than any latency
+/// The unit in which [`Message::max_wait_ms`] travels, in milliseconds: 255 of them are more than any latency
 /// objective for which openers are offered.
 const OFFER_WAIT_UNIT_MS: u16 = 4;
 
@@ -112,8 +112,8 @@
 const OPENED_BIT: u8 = 0x80;
 
 impl Message {
-    fn unsettled_units(&self) -> u8 {
-        let units = self.unsettled_ms.div_ceil(UNSETTLED_UNIT_MS);
+    fn settle_units(&self) -> u8 {
+        let units = self.settle_remaining_ms.div_ceil(SETTLE_UNIT_MS);
         u8::try_from(units).unwrap_or(u8::MAX)
     }
 
@@ -121,7 +121,7 @@
         if self.kind != MessageKind::Offer {
             return self.hops_and_opened();
         }
-        let units = self.most_wait_ms / OFFER_WAIT_UNIT_MS;
+        let units = self.max_wait_ms / OFFER_WAIT_UNIT_MS;
         u8::try_from(units).unwrap_or(u8::MAX)
     }
 
@@ -141,12 +141,12 @@
             kind,
             hops: 0,
             has_opened: false,
-            most_wait_ms: 0,
+            max_wait_ms: 0,
             host: Ipv4Addr::UNSPECIFIED,
             digest: Digest::default(),
             age_ms: UNKNOWN_AGE_MS,
-            unsettled_ms: 0,
-            load_permille: UNKNOWN_LOAD,
+            settle_remaining_ms: 0,
+            load_permille: UNKNOWN_LOAD_PERMILLE,
             waited_ms: 0,
         }
     }
@@ -157,7 +157,7 @@
             VERSION,
             self.kind_and_wait(),
             self.hops_or_wait(),
-            self.unsettled_units(),
+            self.settle_units(),
         ]);
         payload.extend_from_slice(&self.host.octets());
         payload.extend_from_slice(&self.digest.highest.bits().to_be_bytes());
@@ -189,14 +189,14 @@
                 kind,
                 hops,
                 has_opened,
-                most_wait_ms: u16::from(wait_units) * OFFER_WAIT_UNIT_MS,
+                max_wait_ms: u16::from(wait_units) * OFFER_WAIT_UNIT_MS,
                 host: Ipv4Addr::new(trailer[4], trailer[5], trailer[6], trailer[7]),
                 digest: Digest {
                     highest: word(8).into(),
                     hash: word(16),
                 },
                 age_ms: (u32::from(half(24)) << 16) | u32::from(half(26)),
-                unsettled_ms: u16::from(trailer[3]) * UNSETTLED_UNIT_MS,
+                settle_remaining_ms: u16::from(trailer[3]) * SETTLE_UNIT_MS,
                 load_permille: half(28),
                 waited_ms: u16::from(trailer[1] >> KIND_BITS) * WAIT_UNIT_MS,
             },
--- a/src/opaque/packets/segment.rs
+++ b/src/opaque/packets/segment.rs
@@ -86,7 +86,7 @@
     }
 
     /// Tells whether it ends its sender's data without bringing any: who still waits for an answer ends nothing.
-    pub(crate) fn is_bare_end(&self) -> bool {
+    pub(crate) fn ends_without_data(&self) -> bool {
         self.ends && self.payload_bytes == 0
     }
 
--- a/src/opaque/processes/entry.rs
+++ b/src/opaque/processes/entry.rs
@@ -11,7 +11,7 @@
 use crate::code::Code;
 use crate::controllers::control::Control;
 use crate::error::{Error, Result};
-use crate::opaque::forwarder::{Forwarder, named_flow, steady_load, told_wait};
+use crate::opaque::forwarder::{Forwarder, decode_flow, decode_steady_load, decode_wait_ms};
 use crate::opaque::packets::message::{Message, MessageKind};
 use crate::opaque::packets::segment::FlowKey;
 use crate::opaque::processes::readiness;
@@ -135,7 +135,7 @@
             let directory = self.node.directory.borrow();
             let suspicion = self.node.control.suspicion.borrow();
             let mut forwarder = self.forwarder.borrow_mut();
-            forwarder.routes_known(&directory, &suspicion, now_ms)
+            forwarder.offer_early_openers(&directory, &suspicion, now_ms)
         };
         self.node.perform(actions, |_| {});
         self.start_ticking();
@@ -149,8 +149,8 @@
         let now_ms = self.node.control.now_ms();
         let mut search = self.node.search.borrow_mut();
         match message.kind {
-            MessageKind::Greeting => search.greeted(from, now_ms),
-            MessageKind::BeatReply => search.heard_list(payload, now_ms),
+            MessageKind::Greeting => search.record_greeting(from, now_ms),
+            MessageKind::BeatReply => search.record_agents(payload, now_ms),
             _ => {}
         }
     }
@@ -161,41 +161,41 @@
         let load_permille = message.load_permille;
         self.forwarder
             .borrow_mut()
-            .heard(from, load_permille, now_ms);
+            .record_message(from, load_permille, now_ms);
         self.note_agents(from, message, payload);
         if self.node.take_beat(from, message) {
             return;
         }
-        let Some(flow) = named_flow(payload) else {
+        let Some(flow) = decode_flow(payload) else {
             return;
         };
-        if let Some(permille) = steady_load(payload) {
+        if let Some(permille) = decode_steady_load(payload) {
             let mut forwarder = self.forwarder.borrow_mut();
-            forwarder.heard_steady(from, permille, now_ms);
+            forwarder.record_steady_load(from, permille, now_ms);
         }
-        if let Some(wait_ms) = told_wait(payload) {
+        if let Some(wait_ms) = decode_wait_ms(payload) {
             let mut forwarder = self.forwarder.borrow_mut();
-            forwarder.heard_wait(&self.node.directory.borrow(), from, wait_ms, now_ms);
+            forwarder.record_wait(&self.node.directory.borrow(), from, wait_ms, now_ms);
         }
         match message.kind {
             MessageKind::Declined => self.declined(&flow, from, now_ms),
             MessageKind::Holds => {
                 let mut forwarder = self.forwarder.borrow_mut();
                 if message.has_opened {
-                    forwarder.opened(flow, message.host, now_ms);
+                    forwarder.record_opened(flow, message.host, now_ms);
                 } else {
-                    forwarder.holds(flow, message.host, now_ms);
+                    forwarder.record_holder(flow, message.host, now_ms);
                 }
             }
             MessageKind::Found => {
                 log::info!("event=flow_found flow={flow} host={from}");
-                self.forwarder.borrow_mut().holds(flow, from, now_ms);
+                self.forwarder.borrow_mut().record_holder(flow, from, now_ms);
             }
             MessageKind::AttemptFailed => {
                 let mut forwarder = self.forwarder.borrow_mut();
-                forwarder.attempt_failed(&flow, message.waited_ms, now_ms);
+                forwarder.record_failed_attempt(&flow, message.waited_ms, now_ms);
             }
-            MessageKind::Absent => self.forwarder.borrow_mut().handed_on(&flow, from),
+            MessageKind::Absent => self.forwarder.borrow_mut().record_handed_on(&flow, from),
             _ => {}
         }
     }
@@ -205,7 +205,7 @@
             let directory = self.node.directory.borrow();
             let suspicion = self.node.control.suspicion.borrow();
             let mut forwarder = self.forwarder.borrow_mut();
-            forwarder.declined(&directory, &suspicion, flow, from, now_ms)
+            forwarder.handle_decline(&directory, &suspicion, flow, from, now_ms)
         };
         self.node.perform(action.into_iter().collect(), |_| {});
     }
--- a/src/opaque/processes/node.rs
+++ b/src/opaque/processes/node.rs
@@ -10,9 +10,9 @@
 use crate::controllers::control::Control;
 use crate::error::{Error, Result};
 use crate::opaque::Adapter;
-use crate::opaque::finding::flow_search::FlowSearch;
+use crate::opaque::flows::flow_search::FlowSearch;
 use crate::opaque::packets::action::Action;
-use crate::opaque::packets::message::{Message, MessageKind, UNKNOWN_LOAD};
+use crate::opaque::packets::message::{Message, MessageKind, UNKNOWN_LOAD_PERMILLE};
 use crate::opaque::packets::segment::WireFormat;
 use crate::opaque::values::directory::Directory;
 use crate::opaque::values::freshness::BEAT_MS;
@@ -56,7 +56,7 @@
             sender,
             askers: RefCell::default(),
             search: RefCell::default(),
-            load_permille: Cell::new(UNKNOWN_LOAD),
+            load_permille: Cell::new(UNKNOWN_LOAD_PERMILLE),
         });
         control.tells_peers.set(false);
         let changed = node.clone();
@@ -174,7 +174,7 @@
             return Vec::new();
         }
         let now_ms = self.control.now_ms();
-        self.search.borrow().list(now_ms)
+        self.search.borrow().agent_list(now_ms)
     }
 
     fn note_asker(&self, host: Ipv4Addr) {
@@ -203,8 +203,8 @@
         self.values.sign(&mut message);
         // A process that starts now does not know what vanished a moment ago; who saw it tells it.
         let lapse_ms = self.directory.borrow().lapse_ms();
-        message.unsettled_ms = message.unsettled_ms.max(lapse_ms as u16);
-        if message.load_permille == UNKNOWN_LOAD {
+        message.settle_remaining_ms = message.settle_remaining_ms.max(lapse_ms as u16);
+        if message.load_permille == UNKNOWN_LOAD_PERMILLE {
             message.load_permille = self.load_permille.get();
         }
         message.append(&mut payload);
--- a/src/opaque/processes/side.rs
+++ b/src/opaque/processes/side.rs
@@ -14,7 +14,7 @@
 use crate::controllers::control::Control;
 use crate::decisions::stall::LOOK_MS;
 use crate::error::{Error, Result};
-use crate::opaque::finding::lookup::asks_all;
+use crate::opaque::flows::lookup::queries_all_agents;
 use crate::opaque::keeper::{Keeper, KeeperIdentity, Scene};
 use crate::opaque::packets::action::Action;
 use crate::opaque::packets::message::{Message, MessageKind};
@@ -148,7 +148,7 @@
     fn announce_unlisted(&self) {
         let directory = self.node.directory.borrow();
         let hosts = directory.current_hosts();
-        if !asks_all(&directory) || !self.keeper.borrow().is_unlisted(&directory) {
+        if !queries_all_agents(&directory) || !self.keeper.borrow().is_unlisted(&directory) {
             return;
         }
         let own = self.node.control.settings.host;
--- a/src/opaque/values/published.rs
+++ b/src/opaque/values/published.rs
@@ -13,7 +13,7 @@
 use crate::controllers::control::Control;
 use crate::controllers::relay;
 use crate::error::Result;
-use crate::opaque::packets::message::{Message, UNKNOWN_AGE_MS, UNSETTLED_UNIT_MS};
+use crate::opaque::packets::message::{Message, UNKNOWN_AGE_MS, SETTLE_UNIT_MS};
 use crate::opaque::values::freshness::{self, Asker, Freshness, Standing, WATCH_WAIT_MS};
 use crate::opaque::values::news::{dropped, news, vanished};
 use crate::opaque::values::published_entry::LAPSE_MS;
@@ -317,7 +317,7 @@
     /// Fills in what every message tells about its sender's values.
     pub(crate) fn sign(&self, message: &mut Message) {
         let now_ms = self.control.now_ms();
-        message.unsettled_ms = self.unsettled_ms() as u16;
+        message.settle_remaining_ms = self.unsettled_ms() as u16;
         message.digest = self.control.store.borrow().digest();
         let age_ms = self.freshness.borrow().told_age_ms(now_ms);
         message.age_ms = age_ms.map_or(UNKNOWN_AGE_MS, |age_ms| age_ms as u32);
@@ -371,7 +371,7 @@
     /// traffic that it is about.
     pub(crate) fn noticed(self: &Rc<Self>, from: Ipv4Addr, message: &Message) {
         // Less by what rounding added, so that two can't keep each other unsettled.
-        let unsettled_ms = u64::from(message.unsettled_ms.saturating_sub(UNSETTLED_UNIT_MS));
+        let unsettled_ms = u64::from(message.settle_remaining_ms.saturating_sub(SETTLE_UNIT_MS));
         if unsettled_ms > 0 {
             let now_ms = self.control.now_ms();
             let clock_ms = self.lapse_clock_ms();
--- a/tests/opaque/declines.rs
+++ b/tests/opaque/declines.rs
@@ -3,7 +3,7 @@
 use std::net::Ipv4Addr;
 
 use endivedyke::Suspicion;
-use endivedyke::opaque::{Action, Message, MessageKind, UNKNOWN_LOAD, steady_load};
+use endivedyke::opaque::{Action, Message, MessageKind, UNKNOWN_LOAD_PERMILLE, decode_steady_load};
 
 use crate::builder::{
     AgentUnderTest, BALANCER, directory, flow, forwarder, host, hosts_told, opener, reaches_backend,
@@ -42,7 +42,7 @@
 #[test]
 fn an_agent_with_more_than_the_mean_declines_openers() {
     for (mean, declines) in [
-        (UNKNOWN_LOAD, false),
+        (UNKNOWN_LOAD_PERMILLE, false),
         (3_000, false),
         (1_300, false),
         (100, true),
@@ -105,17 +105,17 @@
     let directory = directory(20);
     let mut balancer = forwarder();
     for index in 1..=20 {
-        balancer.heard_steady(host(index), 200, 1_000);
+        balancer.record_steady_load(host(index), 200, 1_000);
     }
     let (key, mut suspicion) = (flow(1), Suspicion::default());
     let first = balancer.handle(&directory, &mut suspicion, opener(&key, 0), 1_100);
     let mut asked = vec![told(first.ok())];
     while let Some((last, 200)) = asked.last().copied() {
-        let next = balancer.declined(&directory, &suspicion, &key, last, 1_101);
+        let next = balancer.handle_decline(&directory, &suspicion, &key, last, 1_101);
         asked.push(told(next));
     }
     assert_eq!(asked.len(), 4, "{asked:?}");
-    assert_eq!(asked[3].1, UNKNOWN_LOAD, "the last one can't decline");
+    assert_eq!(asked[3].1, UNKNOWN_LOAD_PERMILLE, "the last one can't decline");
     let mut hosts: Vec<Ipv4Addr> = asked.iter().map(|(host, _)| *host).collect();
     hosts.sort_unstable();
     hosts.dedup();
@@ -129,13 +129,13 @@
     let (key, mut suspicion) = (flow(1), Suspicion::default());
     let first = balancer.handle(&directory, &mut suspicion, opener(&key, 0), 1_100);
     let (first, _) = told(first.ok());
-    let second = balancer.declined(&directory, &suspicion, &key, first, 1_101);
+    let second = balancer.handle_decline(&directory, &suspicion, &key, first, 1_101);
     let (second, _) = told(second);
     assert!(balancer.tick(&directory, &mut suspicion, 1_200).is_empty());
     let actions = balancer.tick(&directory, &mut suspicion, 1_201);
     let (third, _) = told(actions.into_iter().next());
     assert!(third != first && third != second);
-    let again = balancer.declined(&directory, &suspicion, &key, first, 1_202);
+    let again = balancer.handle_decline(&directory, &suspicion, &key, first, 1_202);
     assert_eq!(again, None, "a late word of one that was asked before");
 }
 
@@ -144,7 +144,7 @@
     let directory = directory(servers);
     let mut balancer = forwarder();
     for (index, permille) in (1..).zip(heard) {
-        balancer.heard_steady(host(index), *permille, 1_000);
+        balancer.record_steady_load(host(index), *permille, 1_000);
     }
     let mut suspicion = Suspicion::default();
     let packet = opener(&flow(1), 0);
@@ -158,10 +158,10 @@
 #[test]
 fn balancers_tell_the_mean_of_many_servers_as_far_as_they_know_it() {
     assert_eq!(mean_told(20, &[100, 200, 300, 400]), 250);
-    assert_eq!(mean_told(20, &[100, 200, 300]), UNKNOWN_LOAD, "too few");
+    assert_eq!(mean_told(20, &[100, 200, 300]), UNKNOWN_LOAD_PERMILLE, "too few");
     assert_eq!(
         mean_told(15, &[100, 200, 300, 400]),
-        UNKNOWN_LOAD,
+        UNKNOWN_LOAD_PERMILLE,
         "a small service"
     );
 }
@@ -169,10 +169,10 @@
 #[test]
 fn the_word_that_an_opener_was_taken_tells_the_load() {
     let mut agent = loaded_agent();
-    let actions = open(&mut agent, UNKNOWN_LOAD);
+    let actions = open(&mut agent, UNKNOWN_LOAD_PERMILLE);
     let holds = actions.iter().find_map(|action| match action {
         Action::ToPeer(_, message, payload) if message.kind == MessageKind::Holds => {
-            steady_load(payload)
+            decode_steady_load(payload)
         }
         _ => None,
     });
--- a/tests/opaque/flow_search.rs
+++ b/tests/opaque/flow_search.rs
@@ -13,7 +13,7 @@
 fn search(agents: u16, now_ms: u64) -> FlowSearch {
     let mut search = FlowSearch::new();
     for index in 1..=agents {
-        search.greeted(host(index), now_ms);
+        search.record_greeting(host(index), now_ms);
     }
     search
 }
@@ -72,12 +72,12 @@
     for agents in [30, 300, 1_000, 6_000] {
         let mut other = FlowSearch::new();
         for now_ms in (0..9_800).step_by(200) {
-            let list = search(agents, now_ms).list(now_ms);
+            let list = search(agents, now_ms).agent_list(now_ms);
             assert!(list.len() <= 1_024, "fits a datagram");
-            other.heard_list(&list, now_ms);
+            other.record_agents(&list, now_ms);
         }
         other.next_agents(&flow(1), 9_800);
-        assert_eq!(other.known(), usize::from(agents));
+        assert_eq!(other.agent_count(), usize::from(agents));
     }
 }
 
@@ -85,7 +85,7 @@
 fn once_an_agent_holds_a_flow_its_packets_go_there_alone() {
     let (mut balancer, mut search) = (forwarder(), search(5, 1_000));
     forward(&mut balancer, &mut search, 1);
-    balancer.holds(flow(1), host(4), 1_010);
+    balancer.record_holder(flow(1), host(4), 1_010);
     let actions = forward(&mut balancer, &mut search, 1);
     assert_eq!(hosts_told(&actions, MessageKind::Deliver), [host(4)]);
     assert_eq!(actions.len(), 1);
@@ -113,23 +113,23 @@
 
 #[test]
 fn a_list_of_agents_is_taken_by_another_balancer_and_bounded() {
-    let list = search(16, 1_000).list(1_000);
+    let list = search(16, 1_000).agent_list(1_000);
     let mut other = FlowSearch::new();
-    other.heard_list(&list, 1_000);
+    other.record_agents(&list, 1_000);
     assert_eq!(other.next_agents(&flow(1), 1_000).len(), 16);
     let long: Vec<u8> = (0..2_000_u32)
         .flat_map(|index| Ipv4Addr::from(index).octets())
         .collect();
-    other.heard_list(&long, 1_000);
-    assert_eq!(other.known(), 16 + 256, "one message tells of so many");
+    other.record_agents(&long, 1_000);
+    assert_eq!(other.agent_count(), 16 + 256, "one message tells of so many");
     for part in 1..300 {
         let told = (0..256_u32).flat_map(|index| Ipv4Addr::from(part << 8 | index).octets());
-        other.heard_list(&told.collect::<Vec<u8>>(), 1_000);
+        other.record_agents(&told.collect::<Vec<u8>>(), 1_000);
     }
-    assert_eq!(other.known(), 65_536);
+    assert_eq!(other.agent_count(), 65_536);
     // Bytes that are no whole address are passed over.
     let mut odd = FlowSearch::new();
-    odd.heard_list(&[10, 0, 0, 1, 10, 0], 1_000);
+    odd.record_agents(&[10, 0, 0, 1, 10, 0], 1_000);
     assert_eq!(odd.next_agents(&flow(1), 1_000), [host(1)]);
 }
 
@@ -137,9 +137,9 @@
 fn balancers_tell_of_agents_that_greeted_them_and_not_of_hearsay() {
     let mut seed = search(2, 1_000);
     let mut other = FlowSearch::new();
-    other.heard_list(&seed.list(1_000), 1_000);
-    assert!(other.list(1_000).is_empty());
+    other.record_agents(&seed.agent_list(1_000), 1_000);
+    assert!(other.agent_list(1_000).is_empty());
     // What comes back as hearsay does not keep a silent agent on the list.
-    seed.heard_list(&seed.list(2_900), 2_900);
-    assert!(seed.list(3_000).is_empty());
+    seed.record_agents(&seed.agent_list(2_900), 2_900);
+    assert!(seed.agent_list(3_000).is_empty());
 }
--- a/tests/opaque/forwarder.rs
+++ b/tests/opaque/forwarder.rs
@@ -1,6 +1,6 @@
 //! What a balancer does with packets.
 
-use endivedyke::opaque::{Action, BackendState, Directory, Forwarder, MessageKind, UNKNOWN_LOAD};
+use endivedyke::opaque::{Action, BackendState, Directory, Forwarder, MessageKind, UNKNOWN_LOAD_PERMILLE};
 use endivedyke::{Code, Suspicion};
 
 use crate::builder::{
@@ -36,7 +36,7 @@
 fn a_copy_of_an_opener_that_was_taken_goes_where_it_was_taken() {
     let mut balancer = forwarder();
     send(&mut balancer, opener(&flow(1), 0));
-    balancer.holds(flow(1), host(4), 1_001);
+    balancer.record_holder(flow(1), host(4), 1_001);
     assert_eq!(host_of(&send(&mut balancer, opener(&flow(1), 1))), host(4));
     assert_eq!(host_of(&send(&mut balancer, request(&flow(1), 1))), host(4));
 }
@@ -71,7 +71,7 @@
                 .expect("forwarded");
             balancer.tick(&site, &mut suspicion, now_ms + 100);
             if heard {
-                balancer.heard(host(1), UNKNOWN_LOAD, now_ms);
+                balancer.record_message(host(1), UNKNOWN_LOAD_PERMILLE, now_ms);
             }
         }
         assert_eq!(suspicion.is_suspected(host(1), 1_300), !heard);
@@ -82,7 +82,7 @@
 fn an_opener_that_was_handed_on_suspects_nobody() {
     let mut balancer = forwarder();
     let first = host_of(&send(&mut balancer, opener(&flow(1), 0)));
-    balancer.handed_on(&flow(1), first);
+    balancer.record_handed_on(&flow(1), first);
     let mut suspicion = Suspicion::default();
     assert!(
         balancer
@@ -104,7 +104,7 @@
     );
     let mut suspicion = Suspicion::default();
     let mut balancer = forwarder();
-    balancer.holds(flow(1), host(1), 1_000);
+    balancer.record_holder(flow(1), host(1), 1_000);
     for port in 2..100 {
         let action = balancer.handle(&directory, &mut suspicion, opener(&flow(port), 0), 1_000);
         assert_eq!(host_of(&action.expect("forwarded")), host(2));
@@ -144,11 +144,11 @@
 #[test]
 fn hints_live_as_long_as_flows() {
     let mut balancer = forwarder();
-    balancer.holds(flow(1), host(1), 1_000);
+    balancer.record_holder(flow(1), host(1), 1_000);
     balancer.expire(60_000);
-    assert_eq!(balancer.hints(), 1);
+    assert_eq!(balancer.hint_count(), 1);
     balancer.expire(61_001);
-    assert_eq!(balancer.hints(), 0);
+    assert_eq!(balancer.hint_count(), 0);
 }
 
 #[test]
@@ -176,8 +176,8 @@
     ];
     for (first_load, second_load, chosen) in cases {
         let mut balancer = forwarder();
-        balancer.heard(first, first_load, 900);
-        balancer.heard(second, second_load, 900);
+        balancer.record_message(first, first_load, 900);
+        balancer.record_message(second, second_load, 900);
         let host = host_of(&send(&mut balancer, opener(&flow(1), 0)));
         assert_eq!(host, chosen, "{first_load} and {second_load}");
     }
@@ -187,10 +187,10 @@
 fn loads_that_are_old_or_unknown_change_nothing() {
     let first = host_of(&send(&mut forwarder(), opener(&flow(1), 0)));
     let second = host_of(&send(&mut forwarder(), opener(&flow(1), 1)));
-    for (load, heard_ms) in [(2_000, 0), (UNKNOWN_LOAD, 900)] {
+    for (load, heard_ms) in [(2_000, 0), (UNKNOWN_LOAD_PERMILLE, 900)] {
         let mut balancer = forwarder();
-        balancer.heard(first, load, heard_ms);
-        balancer.heard(second, 0, heard_ms);
+        balancer.record_message(first, load, heard_ms);
+        balancer.record_message(second, 0, heard_ms);
         let mut suspicion = Suspicion::default();
         let packet = opener(&flow(1), 0);
         let action = balancer.handle(&directory(5), &mut suspicion, packet, 2_500);
@@ -281,7 +281,7 @@
         let mut aware = forwarder();
         for index in 1..=9 {
             let load_permille = if index % 3 == 0 { 1_500 } else { 500 };
-            aware.heard(host(index), load_permille, 1_000);
+            aware.record_message(host(index), load_permille, 1_000);
         }
         let prefers_far = is_near(first) && !is_near(second);
         let expected = if prefers_far { second } else { first };
@@ -303,7 +303,7 @@
         let mut aware = forwarder();
         for index in 1..=5 {
             let load_permille = if host(index) == first { 1_500 } else { 500 };
-            aware.heard(host(index), load_permille, 1_000);
+            aware.record_message(host(index), load_permille, 1_000);
         }
         let action = aware.handle(&site, &mut suspicion, packet, 1_000);
         let lighter = host_of(&action.expect("forwarded"));
@@ -330,7 +330,7 @@
 fn the_next_opener_of_a_caller_whose_attempt_failed_is_its_retry() {
     for (after_ms, expected_ms) in [(7, 607), (125, 725), (126, 0)] {
         let mut balancer = forwarder();
-        balancer.attempt_failed(&flow(1), 600, 1_000);
+        balancer.record_failed_attempt(&flow(1), 600, 1_000);
         let now_ms = 1_000 + after_ms;
         let first = waited_ms(&mut balancer, opener(&flow(2), 0), now_ms);
         assert_eq!(first, expected_ms, "after {after_ms} ms");
@@ -346,7 +346,7 @@
 #[test]
 fn other_callers_are_not_taken_for_the_one_whose_attempt_failed() {
     let mut balancer = forwarder();
-    balancer.attempt_failed(&flow(1), 600, 1_000);
+    balancer.record_failed_attempt(&flow(1), 600, 1_000);
     let other = flow_of("100.64.0.8".parse().expect("address"), 2);
     assert_eq!(waited_ms(&mut balancer, opener(&other, 0), 1_007), 0);
     assert_eq!(waited_ms(&mut balancer, opener(&flow(2), 0), 1_008), 608);
@@ -355,8 +355,8 @@
 #[test]
 fn as_many_openers_are_retries_as_attempts_failed() {
     let mut balancer = forwarder();
-    balancer.attempt_failed(&flow(1), 600, 1_000);
-    balancer.attempt_failed(&flow(2), 100, 1_001);
+    balancer.record_failed_attempt(&flow(1), 600, 1_000);
+    balancer.record_failed_attempt(&flow(2), 100, 1_001);
     let ages = [3, 4, 5].map(|port| waited_ms(&mut balancer, opener(&flow(port), 0), 1_010));
     assert_eq!(ages, [610, 109, 0]);
 }
--- a/tests/opaque/lookup.rs
+++ b/tests/opaque/lookup.rs
@@ -1,6 +1,6 @@
 //! When it is proved that nobody holds a flow.
 
-use endivedyke::opaque::{BackendState, Lookups, OpaqueMetrics, Question, Verdict};
+use endivedyke::opaque::{BackendState, Lookups, OpaqueMetrics, LookupPacket, LookupOutcome};
 
 use crate::builder::{
     BALANCER, WIRE, directory, flow, host, publish, request, state_text, tell_deadline, vanish,
@@ -12,7 +12,7 @@
 fn ask(lookups: &mut Lookups, hosts: u16) -> Vec<std::net::Ipv4Addr> {
     let packet = request(&flow(1), 42);
     let segment = (WIRE.decode)(&packet).expect("sound packet");
-    let question = Question {
+    let question = LookupPacket {
         segment: &segment,
         packet: &packet,
         balancer: BALANCER,
@@ -30,10 +30,10 @@
 fn a_lone_agent_proves_it_alone() {
     let mut lookups = Lookups::new(&OpaqueMetrics::default());
     assert!(ask(&mut lookups, 1).is_empty());
-    let verdict = lookups.verdict(&flow(1), &directory(1), 1);
+    let verdict = lookups.outcome(&flow(1), &directory(1), 1);
     assert_eq!(
         verdict,
-        Verdict::Nowhere {
+        LookupOutcome::NotHeld {
             acknowledgement: 42
         }
     );
@@ -43,17 +43,17 @@
 fn a_backend_server_that_appears_meanwhile_is_asked_too() {
     let mut lookups = Lookups::new(&OpaqueMetrics::default());
     assert_eq!(ask(&mut lookups, 2), [host(2)]);
-    lookups.absent(&flow(1), host(2), 2);
+    lookups.record_absent(&flow(1), host(2), 2);
     let mut grown = directory(3);
-    assert_eq!(lookups.verdict(&flow(1), &grown, 3), Verdict::Open);
-    let due = lookups.due(&grown, 1_200);
+    assert_eq!(lookups.outcome(&flow(1), &grown, 3), LookupOutcome::Pending);
+    let due = lookups.due_queries(&grown, 1_200);
     assert_eq!(
         due.iter().map(|(host, _)| *host).collect::<Vec<_>>(),
         [host(3)]
     );
     // One that vanished without draining may come back; one that drained before is gone.
     vanish(&mut grown, 3, 9, 1_300);
-    assert_eq!(lookups.verdict(&flow(1), &grown, 9), Verdict::Open);
+    assert_eq!(lookups.outcome(&flow(1), &grown, 9), LookupOutcome::Pending);
     publish(
         &mut grown,
         3,
@@ -62,7 +62,7 @@
         1_400,
     );
     vanish(&mut grown, 3, 11, 1_500);
-    assert_ne!(lookups.verdict(&flow(1), &grown, 11), Verdict::Open);
+    assert_ne!(lookups.outcome(&flow(1), &grown, 11), LookupOutcome::Pending);
 }
 
 #[test]
@@ -70,9 +70,9 @@
     let mut lookups = Lookups::new(&OpaqueMetrics::default());
     assert_eq!(ask(&mut lookups, 3).len(), 2);
     assert!(ask(&mut lookups, 3).is_empty(), "one is open already");
-    assert!(lookups.due(&directory(3), 1_100).is_empty(), "too soon");
-    assert_eq!(lookups.due(&directory(3), 1_200).len(), 2);
-    lookups.due(&directory(3), 3_000);
+    assert!(lookups.due_queries(&directory(3), 1_100).is_empty(), "too soon");
+    assert_eq!(lookups.due_queries(&directory(3), 1_200).len(), 2);
+    lookups.due_queries(&directory(3), 3_000);
     assert!(lookups.is_empty());
 }
 
@@ -80,17 +80,17 @@
 fn on_a_large_site_the_likely_holders_are_asked_first_and_the_others_soon() {
     let mut lookups = Lookups::new(&OpaqueMetrics::default());
     assert_eq!(ask(&mut lookups, 33).len(), 32, "few enough to ask all");
-    lookups.forget(&flow(1));
+    lookups.cancel(&flow(1));
     assert_eq!(ask(&mut lookups, 34), LIKELY.map(host));
-    lookups.absent(&flow(1), host(LIKELY[0]), 34);
-    assert!(lookups.due(&directory(34), 1_019).is_empty(), "too soon");
-    let widened = lookups.due(&directory(34), 1_020);
+    lookups.record_absent(&flow(1), host(LIKELY[0]), 34);
+    assert!(lookups.due_queries(&directory(34), 1_019).is_empty(), "too soon");
+    let widened = lookups.due_queries(&directory(34), 1_020);
     assert_eq!(widened.len(), 32, "all but the one that answered");
-    assert_eq!(lookups.verdict(&flow(1), &directory(34), 34), Verdict::Open);
+    assert_eq!(lookups.outcome(&flow(1), &directory(34), 34), LookupOutcome::Pending);
     for index in 2..=34 {
-        lookups.absent(&flow(1), host(index), 34);
+        lookups.record_absent(&flow(1), host(index), 34);
     }
-    assert_ne!(lookups.verdict(&flow(1), &directory(34), 34), Verdict::Open);
+    assert_ne!(lookups.outcome(&flow(1), &directory(34), 34), LookupOutcome::Pending);
 }
 
 #[test]
@@ -99,27 +99,27 @@
         let directory = directory(count);
         let mut lookups = Lookups::new(&OpaqueMetrics::default());
         assert_eq!(ask(&mut lookups, count), LIKELY.map(host));
-        assert!(lookups.due(&directory, 1_019).is_empty(), "too soon");
+        assert!(lookups.due_queries(&directory, 1_019).is_empty(), "too soon");
         let revision = u64::from(count);
-        let near = lookups.due(&directory, 1_020);
+        let near = lookups.due_queries(&directory, 1_020);
         assert_eq!(near.len(), 64, "{count} agents");
         for (host, _) in &near[1..] {
-            lookups.absent(&flow(1), *host, revision);
+            lookups.record_absent(&flow(1), *host, revision);
         }
-        let silent = lookups.due(&directory, 1_220);
+        let silent = lookups.due_queries(&directory, 1_220);
         assert_eq!(silent, near[..1], "the silent one most likely holds it");
-        lookups.absent(&flow(1), near[0].0, revision);
-        let far = lookups.due(&directory, 1_420);
+        lookups.record_absent(&flow(1), near[0].0, revision);
+        let far = lookups.due_queries(&directory, 1_420);
         assert_eq!(far.len(), 256 - 64, "{count} agents");
         for (host, _) in far {
-            lookups.absent(&flow(1), host, revision);
+            lookups.record_absent(&flow(1), host, revision);
         }
         assert!(
-            lookups.due(&directory, 1_620).is_empty(),
+            lookups.due_queries(&directory, 1_620).is_empty(),
             "all of them answered"
         );
-        let verdict = lookups.verdict(&flow(1), &directory, revision);
-        assert_eq!(verdict, Verdict::Open);
+        let verdict = lookups.outcome(&flow(1), &directory, revision);
+        assert_eq!(verdict, LookupOutcome::Pending);
     }
 }
 
@@ -135,7 +135,7 @@
         if has_deadline {
             tell_deadline(&mut directory);
         }
-        let asked_at = |now_ms: &u64| !lookups.due(&directory, *now_ms).is_empty();
+        let asked_at = |now_ms: &u64| !lookups.due_queries(&directory, *now_ms).is_empty();
         let asked_ms: Vec<u64> = (1_000..3_000).step_by(10).filter(asked_at).collect();
         assert_eq!(asked_ms, expected_ms);
     }
--- a/tests/opaque/message.rs
+++ b/tests/opaque/message.rs
@@ -12,7 +12,7 @@
         message.age_ms = age_ms;
         message.hops = hops;
         message.has_opened = has_opened;
-        message.unsettled_ms = 2_480;
+        message.settle_remaining_ms = 2_480;
         message.load_permille = load_permille;
         message.waited_ms = wait_units * 100;
         let mut datagram = payload.clone();
@@ -57,14 +57,14 @@
 
 #[test]
 fn the_longest_wait_of_an_offer_travels_in_place_of_its_hops() {
-    for (most_wait_ms, travels, read_ms) in [(0, 0, 0), (203, 50, 200), (9_000, 255, 1_020)] {
+    for (max_wait_ms, travels, read_ms) in [(0, 0, 0), (203, 50, 200), (9_000, 255, 1_020)] {
         let mut message = Message::new(MessageKind::Offer);
-        message.most_wait_ms = most_wait_ms;
+        message.max_wait_ms = max_wait_ms;
         message.hops = 3;
         let mut written = Vec::new();
         message.append(&mut written);
         assert_eq!(written[2], travels);
         let (_, read) = Message::split(&written).expect("sound");
-        assert_eq!((read.most_wait_ms, read.hops), (read_ms, 0));
+        assert_eq!((read.max_wait_ms, read.hops), (read_ms, 0));
     }
 }
--- a/tests/opaque/model.rs
+++ b/tests/opaque/model.rs
@@ -395,9 +395,9 @@
         };
         let key = flow(u16::from_be_bytes([high, low]));
         if message.has_opened {
-            self.balancer.opened(key, message.host, self.now_ms);
+            self.balancer.record_opened(key, message.host, self.now_ms);
         } else {
-            self.balancer.holds(key, message.host, self.now_ms);
+            self.balancer.record_holder(key, message.host, self.now_ms);
         }
     }
 
--- a/tests/opaque/offers.rs
+++ b/tests/opaque/offers.rs
@@ -43,10 +43,10 @@
         wait_ms: u16,
     ) -> (Ipv4Addr, MessageKind) {
         let (directory, now_ms) = (&self.directory, self.now_ms);
-        self.forwarder.heard_wait(directory, from, wait_ms, now_ms);
+        self.forwarder.record_wait(directory, from, wait_ms, now_ms);
         let next = self
             .forwarder
-            .declined(directory, &self.suspicion, key, from, now_ms);
+            .handle_decline(directory, &self.suspicion, key, from, now_ms);
         sent(&next.expect("offered on"))
     }
 
@@ -63,7 +63,7 @@
     fn learns_routes(&mut self) -> Vec<Action> {
         let (directory, suspicion) = (&self.directory, &mut self.suspicion);
         self.forwarder
-            .routes_known(directory, suspicion, self.now_ms)
+            .offer_early_openers(directory, suspicion, self.now_ms)
     }
 
     fn passes(&mut self, ms: u64) -> Vec<(Ipv4Addr, MessageKind)> {
@@ -114,7 +114,7 @@
         let wait_ms = if index == 4 { 0 } else { 60 };
         let (directory, now_ms) = (&balancer.directory, balancer.now_ms);
         let forwarder = &mut balancer.forwarder;
-        forwarder.heard_wait(directory, *host, wait_ms, now_ms);
+        forwarder.record_wait(directory, *host, wait_ms, now_ms);
     }
     assert_eq!(balancer.sends(&flow(1), 0), (order[4], MessageKind::Offer));
 }
@@ -134,7 +134,7 @@
 fn copies_go_where_the_opener_waits_and_elsewhere_once_that_agent_is_dead() {
     let mut balancer = Balancer::before(8);
     let (holder, _) = balancer.sends(&flow(1), 0);
-    balancer.forwarder.holds(flow(1), holder, balancer.now_ms);
+    balancer.forwarder.record_holder(flow(1), holder, balancer.now_ms);
     assert!(balancer.passes(200).is_empty(), "it was answered");
     assert_eq!(balancer.sends(&flow(1), 1), (holder, MessageKind::Deliver));
     let next = balancer.passes(110);
@@ -182,13 +182,13 @@
     let key = flow(1);
     balancer
         .forwarder
-        .attempt_failed(&key, 200, balancer.now_ms);
+        .record_failed_attempt(&key, 200, balancer.now_ms);
     balancer.hears_early(&key, 0);
     balancer.now_ms += 60;
     // A failure that is told later is not the one of which this is the retry.
     balancer
         .forwarder
-        .attempt_failed(&key, 900, balancer.now_ms);
+        .record_failed_attempt(&key, 900, balancer.now_ms);
     let actions = balancer.learns_routes();
     let [Action::ToPeer(_, message, _)] = actions.as_slice() else {
         panic!("not offered: {actions:?}");
--- a/tests/opaque/opened_flows.rs
+++ b/tests/opaque/opened_flows.rs
@@ -130,12 +130,12 @@
 #[test]
 fn a_balancer_says_so_with_each_packet_of_the_flow() {
     let mut balancer = forwarder();
-    balancer.holds(flow(1), host(4), 1_000);
+    balancer.record_holder(flow(1), host(4), 1_000);
     assert!(!is_sent_as_opened(&mut balancer, request(&flow(1), 501)));
-    balancer.opened(flow(1), host(4), 1_010);
+    balancer.record_opened(flow(1), host(4), 1_010);
     assert!(is_sent_as_opened(&mut balancer, request(&flow(1), 501)));
     // Who took a copy of the opener late does not hold it.
-    balancer.holds(flow(1), host(2), 1_020);
+    balancer.record_holder(flow(1), host(2), 1_020);
     assert!(is_sent_as_opened(&mut balancer, request(&flow(1), 900)));
     assert!(!is_sent_as_opened(&mut balancer, request(&flow(2), 501)));
 }
--- a/tests/opaque/queue_model/processes.rs
+++ b/tests/opaque/queue_model/processes.rs
@@ -3,8 +3,8 @@
 use std::net::Ipv4Addr;
 
 use endivedyke::opaque::{
-    Action, BackendState, Directory, Keeper, Message, MessageKind, Scene, UNKNOWN_LOAD,
-    backend_text, cold_backend_text, steady_load, told_wait,
+    Action, BackendState, Directory, Keeper, Message, MessageKind, Scene, UNKNOWN_LOAD_PERMILLE,
+    backend_text, cold_backend_text, decode_steady_load, decode_wait_ms,
 };
 
 use super::{ACCEPTED, BEAT_MS, Event, Model, TICK_MS, forwarders};
@@ -58,9 +58,9 @@
 
     fn send(&mut self, from: Ipv4Addr, to: Ipv4Addr, mut message: Message, mut payload: Vec<u8>) {
         if from == BALANCER && !self.policy.knows_mean() {
-            message.load_permille = UNKNOWN_LOAD;
+            message.load_permille = UNKNOWN_LOAD_PERMILLE;
         }
-        if from != BALANCER && message.load_permille == UNKNOWN_LOAD {
+        if from != BALANCER && message.load_permille == UNKNOWN_LOAD_PERMILLE {
             message.load_permille = self.with(from, |keeper, scene| keeper.load_permille(scene));
         }
         message.append(&mut payload);
@@ -93,25 +93,25 @@
         let key = self.key(port);
         let index = self.balancer_of(port);
         let forwarder = &mut self.forwarders[index];
-        forwarder.heard(from, message.load_permille, self.now_ms);
-        if let Some(permille) = steady_load(payload) {
-            forwarder.heard_steady(from, permille, self.now_ms);
+        forwarder.record_message(from, message.load_permille, self.now_ms);
+        if let Some(permille) = decode_steady_load(payload) {
+            forwarder.record_steady_load(from, permille, self.now_ms);
         }
-        if let Some(wait_ms) = told_wait(payload) {
-            forwarder.heard_wait(&self.agents.directory, from, wait_ms, self.now_ms);
+        if let Some(wait_ms) = decode_wait_ms(payload) {
+            forwarder.record_wait(&self.agents.directory, from, wait_ms, self.now_ms);
         }
         match message.kind {
-            MessageKind::Holds => forwarder.holds(key, message.host, self.now_ms),
+            MessageKind::Holds => forwarder.record_holder(key, message.host, self.now_ms),
             MessageKind::Declined => {
                 let (agents, now_ms) = (&self.agents, self.now_ms);
                 let action =
-                    forwarder.declined(&agents.directory, &agents.suspicion, &key, from, now_ms);
+                    forwarder.handle_decline(&agents.directory, &agents.suspicion, &key, from, now_ms);
                 self.perform(BALANCER, action.into_iter().collect());
             }
-            MessageKind::Absent => forwarder.handed_on(&key, from),
+            MessageKind::Absent => forwarder.record_handed_on(&key, from),
             MessageKind::AttemptFailed if self.policy.knows_retries() => {
                 let waited_ms = message.waited_ms;
-                forwarder.attempt_failed(&key, waited_ms, self.now_ms);
+                forwarder.record_failed_attempt(&key, waited_ms, self.now_ms);
             }
             _ => {}
         }
@@ -162,7 +162,7 @@
             });
             // One of many asks few agents for the newest values, and hears the others when it sends to them.
             if let [only] = self.forwarders.as_mut_slice() {
-                only.heard(host(index), permille, self.now_ms);
+                only.record_message(host(index), permille, self.now_ms);
             }
         }
         for forwarder in &mut self.forwarders {
--- a/tests/opaque/waiting.rs
+++ b/tests/opaque/waiting.rs
@@ -3,7 +3,7 @@
 
 use endivedyke::opaque::{
     Action, BackendState, FlowKey, Message, MessageKind, ROUTES_HEADER, RouteTable, deadlines,
-    told_wait,
+    decode_wait_ms,
 };
 
 use crate::builder::{
@@ -106,7 +106,7 @@
     assert!(!reaches_backend(&actions));
     let wait_ms = actions.iter().find_map(|action| match action {
         Action::ToPeer(BALANCER, message, payload) if message.kind == MessageKind::Declined => {
-            told_wait(payload)
+            decode_wait_ms(payload)
         }
         _ => None,
     });
@@ -349,7 +349,7 @@
     let actions = agent.hear(BALANCER, message, &opener(&flow(1), 0));
     assert_eq!(hosts_told(&actions, MessageKind::Declined), [BALANCER]);
     assert!(actions.iter().any(|action| match action {
-        Action::ToPeer(_, _, payload) => told_wait(payload).is_some(),
+        Action::ToPeer(_, _, payload) => decode_wait_ms(payload).is_some(),
         _ => false,
     }));
 }
