--- a/src/opaque/flows/flow.rs
+++ b/src/opaque/flows/flow.rs
@@ -1,60 +1,62 @@
-//! One flow, as its agent knows it.
+//! The state that an agent keeps for one flow.
 
 use std::net::Ipv4Addr;
 
 use crate::opaque::packets::segment::{FlowKey, Segment};
 
-/// How long a request may stay without an answer before it counts as failed, in milliseconds: a full
-/// queue of the users' slowest requests at a cold backend server takes half of it.
+/// The age at which a request without an answer counts as failed, in milliseconds. A full queue of the
+/// users' slowest requests at a cold backend server takes half of it.
 const OVERDUE_MS: u64 = 1_000;
 
-/// How long a request without an answer counts as work, in milliseconds: callers of the users' short
-/// requests give up after 2.5 to 3 seconds. One of a backend server that swallowed it would otherwise
-/// hold its place for as long as a flow lives.
+/// How long a request without an answer counts as busy, in milliseconds. Callers of the users' short
+/// requests give up after 2.5 to 3 seconds. Without this limit, a request that the backend server
+/// lost would occupy a slot for the lifetime of its flow.
 pub(crate) const REQUEST_BUSY_TIMEOUT_MS: u64 = 3_000;
-/// How long a taken opener counts as a request before its caller has sent one, in milliseconds.
+/// How long a taken opener counts as busy while its caller has not sent a request, in milliseconds.
 pub(crate) const OPENER_BUSY_TIMEOUT_MS: u64 = 500;
-/// The same where callers have time for one attempt only, in milliseconds: some round trips between a caller and its
-/// backend server. Many openers of a rush come from callers that have left, and would hold slots for nothing.
+/// [`OPENER_BUSY_TIMEOUT_MS`] for routes with a deadline, whose callers have time for one attempt:
+/// a few round trips between a caller and its backend server. In a rush, many openers come from
+/// callers that have left, and would occupy slots for nothing.
 pub(crate) const DEADLINE_OPENER_BUSY_TIMEOUT_MS: u64 = 60;
 
-/// Where a flow is, as far as the agent knows.
+/// What the agent knows of where a flow is held.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum FlowState {
-    /// The backend server was handed the opener; whether the flow opens here is the caller's choice.
+    /// The backend server has the opener. The caller chooses whether the flow opens here.
     Opening(PendingOpener),
-    /// The backend server was handed a packet of it and may still return it.
+    /// The backend server has a packet of the flow, and may still return it.
     Unconfirmed { since_ms: u64, source: PacketSource },
-    /// It is open here.
+    /// The flow is open at the backend server.
     Open,
-    /// Another agent said that it holds it.
+    /// The agent on this host reported that it holds the flow.
     Elsewhere(Ipv4Addr),
-    /// It is not here, for certain.
+    /// The backend server certainly does not hold the flow.
     Absent,
 }
 
-/// Who sent a packet of a flow that the agent does not know.
+/// The sender of a packet whose flow the agent does not know.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum PacketSource {
     /// A balancer that does not know where the flow opened.
     Balancer,
-    /// A balancer that was told that the flow opened here.
+    /// A balancer that knows that the flow opened here.
     BalancerKnowsOpened,
-    /// An agent that asks who holds the flow.
+    /// An agent that looks up the holder of the flow.
     AskingAgent(Ipv4Addr),
 }
 
-/// An opener that the backend server has.
+/// An opener that the agent keeps until its flow opens.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct PendingOpener {
     pub(crate) since_ms: u64,
     pub(crate) packet: Vec<u8>,
     pub(crate) balancer: Ipv4Addr,
     pub(crate) hops: u8,
+    /// The number of this copy; the caller's first one is 0.
     pub(crate) copy: u32,
-    /// For how long its caller had waited before the first copy, as far as known, in milliseconds.
+    /// How long its caller had waited before the first copy, as far as known, in milliseconds.
     pub(crate) waited_ms: u16,
-    /// How long it counts as a request before its caller has sent one, in milliseconds.
+    /// How long it counts as busy while its caller has not sent a request, in milliseconds.
     pub(crate) busy_timeout_ms: u64,
     pub(crate) is_answered: bool,
     pub(crate) backend_sequence: u32,
@@ -63,18 +65,18 @@
 /// A request that the backend server has not begun to answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct RunningRequest {
-    /// The caller's name for it, where its packet showed one.
+    /// The caller's request id, or `unknown` if its packet shows none.
     pub(crate) id: String,
-    /// When its last new data came.
+    /// When its last new data arrived.
     pub(crate) since_ms: u64,
-    /// Whether it was noted as one that takes too long.
+    /// Whether it has been reported as overdue.
     pub(crate) is_overdue: bool,
-    /// For how long it counts as work, in milliseconds.
+    /// How long it counts as busy, in milliseconds.
     pub(crate) busy_timeout_ms: u64,
 }
 
 impl RunningRequest {
-    /// Notes a request that is handed over now.
+    /// Creates a request that is handed to the backend server now.
     pub(crate) fn new(id: Option<&str>, busy_timeout_ms: u64, now_ms: u64) -> Self {
         Self {
             id: id.unwrap_or("unknown").to_owned(),
@@ -85,34 +87,37 @@
     }
 }
 
-/// One flow.
+/// The state of one flow.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Flow {
     pub(crate) state: FlowState,
-    /// Since when it is known here.
+    /// When the agent first saw the flow.
     pub(crate) since_ms: u64,
+    /// When the agent last saw a packet of the flow.
     pub(crate) last_seen_ms: u64,
-    /// The next number that the caller expects, which a reset must fit.
+    /// The next sequence number that the caller expects. A reset must carry it.
     pub(crate) caller_acknowledgement: u32,
     pub(crate) running: Option<RunningRequest>,
     pub(crate) is_closed: bool,
-    /// Whether the backend server showed that it holds the flow; silence shows nothing.
+    /// Whether a packet of the backend server proved that it holds the flow. Silence proves nothing.
     pub(crate) is_confirmed: bool,
-    /// The number after the last byte that the caller sent, where one was seen.
+    /// The sequence number after the last byte seen from the caller.
     pub(crate) caller_next_sequence: Option<u32>,
-    /// The next number that the backend server expects, where it said so: copies of what is before it are no request.
+    /// The next sequence number that the backend server expects, if known. Data before it was sent
+    /// again and is no new request.
     pub(crate) backend_acknowledgement: Option<u32>,
-    /// The number after the last byte that the backend server sent, where one was seen.
+    /// The sequence number after the last byte seen from the backend server.
     pub(crate) backend_next_sequence: Option<u32>,
-    /// Whether a request came in several packets, or one behind another: which of them an answer ends can't be told.
+    /// Whether a request came in several packets, or while another one was running. Which request
+    /// an answer belongs to is then unknown.
     pub(crate) has_ambiguous_requests: bool,
     /// Whether the last packet of the backend server may be followed by more of the same answer.
     pub(crate) may_continue_answer: bool,
-    /// Whether its caller was told that it has ended, while its backend server still holds it.
+    /// Whether the flow was ended towards its caller while its backend server still holds it.
     pub(crate) is_end_sent: bool,
-    /// Whether its caller ended it while a request was running.
+    /// Whether its caller ended the flow while a request was running.
     pub(crate) has_caller_left: bool,
-    /// Which balancer was told last that the flow has opened here, and when.
+    /// The balancer last notified that the flow has opened here, and when.
     pub(crate) last_opened_notice: Option<(Ipv4Addr, u64)>,
 }
 
@@ -137,7 +142,7 @@
         }
     }
 
-    /// Tells whether a packet of the caller brings data that was not seen before.
+    /// Records a packet of the caller, and returns whether it carries data that was not seen before.
     pub(crate) fn record_new_data(&mut self, segment: &Segment) -> bool {
         let end = segment.end_sequence();
         let comes_after = |next: Option<u32>| next.is_none_or(|next| is_after(end, next));
@@ -150,15 +155,16 @@
         is_new
     }
 
-    /// Notes that the backend server has everything of the caller before this number.
+    /// Records that the backend server has all data of the caller before the sequence number `next`.
     pub(crate) fn record_acknowledgement(&mut self, next: u32) {
         if self.backend_acknowledgement.is_none_or(|known| is_after(next, known)) {
             self.backend_acknowledgement = Some(next);
         }
     }
 
-    /// Tells whether a packet of the backend server shows that an answer has begun: it carries data, or
-    /// ends the flow behind data that was overtaken on its way.
+    /// Records a packet of the backend server, and returns whether it shows that an answer has begun.
+    ///
+    /// It does if it carries data, or if it ends the flow after data that has not arrived yet.
     pub(crate) fn record_answer(&mut self, segment: &Segment) -> bool {
         let overtook = segment.ends
             && self
@@ -171,8 +177,10 @@
         segment.payload_bytes > 0 || overtook
     }
 
-    /// Tells whether it carries no request, which shows only once one was answered under the agent's eyes and its
-    /// caller has acknowledged the answer.
+    /// Returns whether the flow certainly carries no request.
+    ///
+    /// This is known only once the agent has seen a request answered and the caller acknowledge the
+    /// answer.
     pub(super) fn is_idle(&self) -> bool {
         let acknowledged = self.backend_next_sequence == Some(self.caller_acknowledgement);
         let is_clear = !self.has_ambiguous_requests && !self.may_continue_answer;
@@ -180,17 +188,17 @@
         self.is_open() && self.is_confirmed && was_answered && is_clear
     }
 
-    /// Tells whether the backend server showed that the flow has opened there, and nowhere else.
+    /// Returns whether the flow is known to have opened at this backend server and at no other one.
     pub(crate) fn has_opened(&self) -> bool {
         self.is_open() && self.is_confirmed
     }
 
-    /// Tells whether the flow is open at the backend server.
+    /// Returns whether the flow is open at the backend server.
     pub(super) fn is_open(&self) -> bool {
         self.state == FlowState::Open && !self.is_closed
     }
 
-    /// Notes a request that takes too long; says so once.
+    /// Marks and logs a running request that is overdue. Returns true once for each request.
     pub(super) fn mark_overdue(&mut self, key: &FlowKey, now_ms: u64) -> bool {
         let Some(running) = self.running.as_mut().filter(|_| !self.is_closed) else {
             return false;
@@ -207,7 +215,7 @@
         true
     }
 
-    /// Tells whether it takes or will soon take a slot there.
+    /// Returns whether the flow occupies a slot of the backend server, or will soon.
     pub(super) fn is_busy(&self, now_ms: u64) -> bool {
         match &self.state {
             FlowState::Opening(opening) => now_ms < opening.since_ms + opening.busy_timeout_ms,
@@ -219,7 +227,7 @@
     }
 }
 
-/// Tells whether one number of a flow's bytes comes after another; numbers wrap.
+/// Returns whether the sequence number `number` comes after `other`. Sequence numbers wrap.
 pub(crate) fn is_after(number: u32, other: u32) -> bool {
     (1..=u32::MAX / 2).contains(&number.wrapping_sub(other))
 }
--- a/src/opaque/flows/flow_map.rs
+++ b/src/opaque/flows/flow_map.rs
@@ -1,11 +1,11 @@
-//! A bounded map of flows, in sorted vectors.
+//! A bounded map keyed by flow, kept in sorted vectors.
 
 use crate::opaque::packets::segment::FlowKey;
 
-/// How many flows a bucket of a full map holds on average, so that an insertion moves a few kilobytes.
+/// The mean number of flows in a bucket of a full map. At this size an insertion moves a few kilobytes.
 const BUCKET_FLOWS: usize = 64;
 
-/// Values by flow, in buckets that are sorted by key.
+/// A map from flows to values, in hash buckets that are sorted by key.
 #[derive(Debug)]
 pub(crate) struct FlowMap<T> {
     buckets: Vec<Vec<(FlowKey, T)>>,
@@ -14,7 +14,7 @@
 }
 
 impl<T> FlowMap<T> {
-    /// Makes a map that holds at most `capacity` flows.
+    /// Creates a map that holds at most `capacity` flows.
     pub(crate) fn new(capacity: usize) -> Self {
         Self {
             buckets: (0..capacity.div_ceil(BUCKET_FLOWS))
@@ -45,7 +45,7 @@
         index.ok().map(|index| &mut self.buckets[bucket][index].1)
     }
 
-    /// Inserts or replaces a value; says whether there was room.
+    /// Inserts or replaces a value. Returns false if the map is full.
     pub(crate) fn insert(&mut self, key: FlowKey, value: T) -> bool {
         let (bucket, index) = self.find(&key);
         match index {
@@ -66,7 +66,7 @@
         Some(self.buckets[bucket].remove(index).1)
     }
 
-    /// Keeps the values that `keep` lets pass.
+    /// Removes the values for which `keep` returns false.
     pub(crate) fn retain(&mut self, mut keep: impl FnMut(&FlowKey, &mut T) -> bool) {
         for bucket in &mut self.buckets {
             bucket.retain_mut(|(key, value)| keep(key, value));
--- a/src/opaque/flows/flow_search.rs
+++ b/src/opaque/flows/flow_search.rs
@@ -1,10 +1,10 @@
-//! How a balancer without a configuration finds who holds an open flow.
+//! The search for the holder of an open flow by a balancer without a configuration.
 //!
-//! After a restart of all processes while the platform answers nobody, no process knows a route or a backend
-//! server, and yet every backend server may hold its flows. Which agents run is known from what they say:
-//! they greet the seeds while they start, and seeds pass the list on to balancers that ask. A packet that
-//! opens nothing is then shown to agents until one says that its backend server holds the flow. Nothing is reset and
-//! nothing is opened on such knowledge. See docs/OPAQUE.md, "Serving without a configuration".
+//! If all processes restart while the platform does not answer, no process knows a route or a backend
+//! server, but the backend servers may still hold their flows. Agents greet the seeds when they start,
+//! and seeds send the list of agents to balancers that ask. Packets that open no flow are then shown to
+//! agents until one answers that its backend server holds the flow. Such a search neither resets nor
+//! opens a flow. See docs/OPAQUE.md, "Serving without a configuration".
 
 use std::net::Ipv4Addr;
 
@@ -12,58 +12,59 @@
 use crate::opaque::flows::flow_map::FlowMap;
 use crate::opaque::packets::segment::FlowKey;
 
-/// To how many agents the first copy of a packet is shown. They are the first in the order in which flows are placed,
-/// so that most flows are found with it at any number of agents.
-const SHOWN_FIRST: usize = 16;
-/// To how many agents a copy is shown at most. Each copy is shown to twice as many as the one before it.
-const SHOWN_AT_ONCE: usize = 256;
-/// The most agents that are remembered: 24 bytes each, 1.5 MB.
+/// The number of agents to which the first copy of a packet is shown. They come first in the placement
+/// order of the flow, so that this copy finds most flows at any number of agents.
+const FIRST_COPY_AGENTS: usize = 16;
+/// The most agents to which one copy is shown. Each copy is shown to twice as many as the one before it.
+const MAX_COPY_AGENTS: usize = 256;
+/// The most agents that are kept: 24 bytes each, 1.5 MB in all.
 const MAX_AGENTS: usize = 65_536;
-/// The most agents of which one message tells: a kilobyte. On larger sites each message tells of the next ones.
-const TOLD_AT_ONCE: usize = 256;
-/// How long one part of the list is told, in milliseconds: balancers ask five times a second.
-const TOLD_FOR_MS: u64 = 200;
-/// For how long an agent counts that says nothing, in milliseconds: agents greet five times a second.
-const HEARD_MS: u64 = 2_000;
-/// The same for one that never greeted this process, in milliseconds: within it a seed tells of 12,800 agents. A packet
-/// that is shown to a dead one costs a datagram.
-const TOLD_MS: u64 = 10_000;
-/// How many flows are searched at once; a further one is shown to the first agents again and again.
-const MAX_SEARCHED: usize = 16_384;
+/// The most agents in one message, which is then a kilobyte. On larger sites the list is sent in parts.
+const MAX_LISTED_AGENTS: usize = 256;
+/// How long the same part of the list is sent, in milliseconds. Balancers ask five times a second.
+const LIST_PART_MS: u64 = 200;
+/// The time after which a silent agent that had greeted this process expires, in milliseconds. Agents
+/// greet five times a second.
+const GREETING_TIMEOUT_MS: u64 = 2_000;
+/// The time after which an agent known only from lists expires, in milliseconds. Within it a seed
+/// lists 12,800 agents. A packet that is shown to a dead agent costs one datagram.
+const LISTED_TIMEOUT_MS: u64 = 10_000;
+/// The most concurrent searches. The packets of further flows are all shown to the same first agents.
+const MAX_SEARCHES: usize = 16_384;
 const ADDRESS_BYTES: usize = 4;
 
-/// An agent that runs.
+/// An agent that was seen running.
 #[derive(Debug, Clone, Copy)]
 struct RunningAgent {
     host: Ipv4Addr,
-    heard_ms: u64,
-    /// When it greeted this process itself, if it did.
+    last_seen_ms: u64,
+    /// When it last greeted this process directly, if ever.
     greeted_ms: Option<u64>,
 }
 
-/// The agents heard of, sorted by host, and how far the search for each flow has come.
+/// The known agents, sorted by host, and the progress of the search for each flow.
 #[derive(Debug)]
 pub struct FlowSearch {
     agents: Vec<RunningAgent>,
-    /// How many agents each flow's packets were shown to.
+    /// The number of agents to which the packets of each flow were shown.
     shown: FlowMap<usize>,
 }
 
 impl FlowSearch {
-    /// Makes a search that knows no agent.
+    /// Creates a search without agents.
     pub fn new() -> Self {
         Self {
             agents: Vec::new(),
-            shown: FlowMap::new(MAX_SEARCHED),
+            shown: FlowMap::new(MAX_SEARCHES),
         }
     }
 
-    /// Returns the number of agents heard of.
+    /// Returns the number of known agents.
     pub fn agent_count(&self) -> usize {
         self.agents.len()
     }
 
-    /// Notes that an agent greeted this process.
+    /// Records that an agent greeted this process.
     pub fn record_greeting(&mut self, host: Ipv4Addr, now_ms: u64) {
         if let Some(agent) = self.record_agent(host, now_ms) {
             agent.greeted_ms = Some(now_ms);
@@ -78,7 +79,7 @@
             Err(index) => {
                 let agent = RunningAgent {
                     host,
-                    heard_ms: now_ms,
+                    last_seen_ms: now_ms,
                     greeted_ms: None,
                 };
                 self.agents.insert(index, agent);
@@ -86,13 +87,13 @@
             }
         };
         let agent = &mut self.agents[index];
-        agent.heard_ms = now_ms;
+        agent.last_seen_ms = now_ms;
         Some(agent)
     }
 
-    /// Notes the agents of which another balancer has heard.
+    /// Records the agents in a list that another process sent.
     pub fn record_agents(&mut self, list: &[u8], now_ms: u64) {
-        for bytes in list.chunks_exact(ADDRESS_BYTES).take(TOLD_AT_ONCE) {
+        for bytes in list.chunks_exact(ADDRESS_BYTES).take(MAX_LISTED_AGENTS) {
             self.record_agent(
                 Ipv4Addr::new(bytes[0], bytes[1], bytes[2], bytes[3]),
                 now_ms,
@@ -100,14 +101,15 @@
         }
     }
 
-    /// Returns agents that greeted this process lately, as a list for other balancers: all of them one part after the
-    /// other.
+    /// Returns the encoded list of agents that greeted this process recently, for other balancers.
     ///
-    /// Those that it was told of are left out: two balancers would tell each other of a dead agent for ever.
+    /// A list that is too long for a message is returned in parts, one after the other. Agents known
+    /// only from lists are left out: two balancers would otherwise keep a dead agent alive in each
+    /// other's lists.
     pub fn agent_list(&self, now_ms: u64) -> Vec<u8> {
         let is_recent = |agent: &&RunningAgent| {
             let greeted_ms = agent.greeted_ms;
-            greeted_ms.is_some_and(|greeted_ms| now_ms < greeted_ms + HEARD_MS)
+            greeted_ms.is_some_and(|greeted_ms| now_ms < greeted_ms + GREETING_TIMEOUT_MS)
         };
         let greeted: Vec<Ipv4Addr> = self
             .agents
@@ -115,38 +117,38 @@
             .filter(is_recent)
             .map(|agent| agent.host)
             .collect();
-        let parts = greeted.len().div_ceil(TOLD_AT_ONCE).max(1);
-        let part = (now_ms / TOLD_FOR_MS) as usize % parts;
-        let told = greeted.chunks(TOLD_AT_ONCE).nth(part).unwrap_or_default();
-        told.iter().flat_map(Ipv4Addr::octets).collect()
+        let parts = greeted.len().div_ceil(MAX_LISTED_AGENTS).max(1);
+        let part = (now_ms / LIST_PART_MS) as usize % parts;
+        let listed = greeted.chunks(MAX_LISTED_AGENTS).nth(part).unwrap_or_default();
+        listed.iter().flat_map(Ipv4Addr::octets).collect()
     }
 
-    /// Returns the agents to which a packet of a flow is shown now.
+    /// Returns the agents to which a packet of a flow is shown next.
     ///
-    /// They follow each other in the order in which the flow was placed where backend servers weigh the same, so
+    /// They are sorted by the placement order of the flow among backend servers of equal weight, so
     /// that its holder is among the first ones.
     pub fn next_agents(&mut self, flow: &FlowKey, now_ms: u64) -> Vec<Ipv4Addr> {
-        self.forget(now_ms);
+        self.expire_agents(now_ms);
         if self.agents.is_empty() {
             return Vec::new();
         }
         let shown = self.shown.get(flow).copied().unwrap_or(0);
         let from = if shown < self.agents.len() { shown } else { 0 };
-        let count = (SHOWN_FIRST + from).min(SHOWN_AT_ONCE);
-        // Without room for it the search begins anew with each copy.
+        let count = (FIRST_COPY_AGENTS + from).min(MAX_COPY_AGENTS);
+        // If the map is full, the search starts again with each copy.
         let _ = self.shown.insert(*flow, from + count);
         let hosts = self.agents.iter().map(|agent| agent.host).collect();
         placement::first_hosts(hosts, flow.hash(), from + count).split_off(from)
     }
 
-    fn forget(&mut self, now_ms: u64) {
+    fn expire_agents(&mut self, now_ms: u64) {
         self.agents.retain(|agent| {
-            let remembered_ms = if agent.greeted_ms.is_some() {
-                HEARD_MS
+            let timeout_ms = if agent.greeted_ms.is_some() {
+                GREETING_TIMEOUT_MS
             } else {
-                TOLD_MS
+                LISTED_TIMEOUT_MS
             };
-            now_ms < agent.heard_ms + remembered_ms
+            now_ms < agent.last_seen_ms + timeout_ms
         });
     }
 }
--- a/src/opaque/flows/flow_table.rs
+++ b/src/opaque/flows/flow_table.rs
@@ -1,4 +1,5 @@
-//! What an agent knows of the flows of its backend server, and how much work they are.
+//! The flow table of an agent: the flows of its backend server, with counts of open flows and busy
+//! requests.
 
 use crate::opaque::flows::flow::{Flow, FlowState};
 use crate::opaque::flows::flow_map::FlowMap;
@@ -6,16 +7,16 @@
 use crate::opaque::packets::segment::FlowKey;
 use crate::process::opaque_metrics::OpaqueMetrics;
 
-/// How many flows an agent remembers: eight times the connections of the largest backend servers.
+/// The capacity of the table: eight times the connections of the largest backend servers.
 const MAX_FLOWS: usize = 16_384;
-/// How long a flow is remembered after its backend server has ended it, in milliseconds: for its last
-/// acknowledgements.
+/// How long a flow is kept after its backend server has ended it, in milliseconds. Its last
+/// acknowledgements still arrive then.
 const CLOSED_MS: u64 = 2_000;
-/// How old a count of the requests may be where openers wait for a slot, in milliseconds: a part of the time for
-/// which a taken opener counts.
+/// The age from which the counts are taken again where openers wait for a slot, in milliseconds: a
+/// fraction of the time for which a taken opener counts as busy.
 const COUNT_MAX_AGE_MS: u64 = 20;
 
-/// The flows of one agent, with counts of the open ones and of the requests that run.
+/// The flows of one agent, with counts of the open flows and of the busy requests.
 #[derive(Debug)]
 pub(crate) struct FlowTable {
     flows: FlowMap<Flow>,
@@ -27,7 +28,7 @@
 }
 
 impl FlowTable {
-    /// Makes a book without flows; one without a packet for `lifetime_ms` is forgotten.
+    /// Creates an empty table. A flow without a packet for `lifetime_ms` expires.
     pub(crate) fn new(metrics: &OpaqueMetrics, lifetime_ms: u64) -> Self {
         Self {
             flows: FlowMap::new(MAX_FLOWS),
@@ -39,12 +40,14 @@
         }
     }
 
-    /// Returns the requests that run or wait at the backend server.
+    /// Returns the number of requests that run or wait at the backend server.
     pub(crate) fn busy_requests(&self) -> u32 {
         self.busy
     }
 
-    /// Returns the same, without what counted as a request until a moment ago and does no more.
+    /// Returns [`FlowTable::busy_requests`], counted again if the count is stale.
+    ///
+    /// A new count leaves out requests and openers whose busy timeout has passed.
     pub(crate) fn fresh_busy_requests(&mut self, now_ms: u64) -> u32 {
         if now_ms >= self.counted_ms + COUNT_MAX_AGE_MS {
             self.recount(now_ms);
@@ -52,7 +55,7 @@
         self.busy
     }
 
-    /// Returns the flows open there.
+    /// Returns the number of flows that are open at the backend server.
     pub(crate) fn open_flows(&self) -> u32 {
         self.open
     }
@@ -61,7 +64,7 @@
         self.flows.get(key)
     }
 
-    /// Inserts or replaces a flow; says whether there was room.
+    /// Inserts or replaces a flow. Returns false if the table is full.
     pub(crate) fn insert(&mut self, key: FlowKey, flow: Flow, now_ms: u64) -> bool {
         self.remove(&key, now_ms);
         let (open, busy) = (flow.is_open(), flow.is_busy(now_ms));
@@ -72,7 +75,7 @@
         inserted
     }
 
-    /// Changes a flow, if it is known, and returns what the change returns.
+    /// Applies `change` to a flow and returns its result, or `None` if the flow is unknown.
     pub(crate) fn update<T>(
         &mut self,
         key: &FlowKey,
@@ -94,7 +97,9 @@
         Some(flow)
     }
 
-    /// Takes out everything that a backend server held which has ended before `end_ms`.
+    /// Removes the flows of a backend server that ended, and returns those to be reset or passed on.
+    ///
+    /// Flows first seen at `end_ms` or later stay.
     pub(crate) fn take_orphaned(&mut self, end_ms: u64, now_ms: u64) -> OrphanedFlows {
         let mut orphaned = OrphanedFlows::default();
         self.flows.retain(|key, flow| {
@@ -106,7 +111,7 @@
                 FlowState::Opening(opening) if !flow.is_closed => {
                     orphaned.openers.push((*key, opening.clone()));
                 }
-                // Another backend server may hold what this one never showed.
+                // Without proof that this backend server held the flow, another one may hold it.
                 FlowState::Open if flow.is_confirmed && !flow.is_closed => orphaned.flows.push(EndedFlow {
                     key: *key,
                     acknowledgement: flow.caller_acknowledgement,
@@ -127,8 +132,8 @@
         orphaned
     }
 
-    /// Returns at most `most` flows without a request, out of those that `may_end`, whose callers are to be told
-    /// that they have ended; each is returned once.
+    /// Returns at most `most` idle flows that `may_end` accepts, for the agent to end them towards
+    /// their callers. Each flow is returned once.
     pub(crate) fn end_idle(
         &mut self,
         most: usize,
@@ -148,8 +153,8 @@
         ended
     }
 
-    /// Forgets flows of which nothing was heard for long, counts anew, and returns how many requests
-    /// have become overdue.
+    /// Removes expired flows, takes the counts again, and returns how many requests have become
+    /// overdue.
     pub(crate) fn expire(&mut self, now_ms: u64) -> u32 {
         let (mut open, mut busy, mut overdue) = (0, 0, 0);
         let lifetime_ms = self.lifetime_ms;
--- a/src/opaque/flows/mod.rs
+++ b/src/opaque/flows/mod.rs
@@ -1,6 +1,7 @@
-//! Where a flow is: an agent's book, questions to other agents, and the search without a configuration.
+//! Where a flow is held: an agent's flow table, lookups among agents, and the search without a
+//! configuration.
 //!
-//! The rule that lives here: only the word of all agents proves that nobody holds a flow. See docs/OPAQUE.md.
+//! Only the answers of all agents prove that no backend server holds a flow. See docs/OPAQUE.md.
 
 pub(crate) mod flow;
 pub(crate) mod flow_table;
--- a/src/opaque/forwarder.rs
+++ b/src/opaque/forwarder.rs
@@ -1,8 +1,8 @@
-//! A balancer's decision about a caller's packet: which agent gets it.
+//! Chooses the agent to which a balancer forwards a caller's packet.
 //!
-//! Balancers hold hints, never truth: a wrong one costs a hop, and a lost one costs a hop or a
-//! question among agents, which find each flow's holder without them. See docs/OPAQUE.md, "Finding a
-//! flow".
+//! A balancer only keeps hints about who holds a flow. A wrong hint costs a hop; a missing one costs a
+//! hop or a lookup among the agents, which find the holder without hints. See docs/OPAQUE.md, "Finding
+//! a flow".
 
 mod offers;
 mod sent_openers;
@@ -28,45 +28,48 @@
 use crate::opaque::values::directory::Directory;
 use crate::process::opaque_metrics::OpaqueMetrics;
 
-/// How many hints a balancer keeps; the brief speaks of hundreds of thousands of flows for each.
+/// The most hints that a balancer keeps. A balancer serves hundreds of thousands of flows.
 const MAX_HINTS: usize = 262_144;
 
-/// How far apart the numbers may be that two packets of one flow acknowledge: some times what may be on its way.
-const MAX_ACKNOWLEDGED_APART: u32 = 1 << 20;
+/// The largest difference between the acknowledgements of two packets of one flow: a few times the
+/// data that may be in flight.
+const MAX_ACKNOWLEDGEMENT_GAP: u32 = 1 << 20;
 
+/// What a balancer knows of the agent that holds a flow.
 #[derive(Debug, Clone, Copy)]
 struct Hint {
     host: Ipv4Addr,
     last_seen_ms: u64,
-    /// Whether the flow is known to have opened there.
+    /// Whether the flow is known to have opened at `host`.
     has_opened: bool,
-    /// The number that its caller acknowledged last, where a packet of an open flow was seen.
+    /// The last acknowledgement of the caller, once a packet of the open flow was seen.
     acknowledgement: Option<u32>,
 }
 
 impl Hint {
-    /// Forgets where the flow opened: an opener may begin another one between the same ends.
-    fn forget_opened(&mut self) {
+    /// Clears whether the flow has opened. An opener may begin another flow between the same ends.
+    fn clear_opened(&mut self) {
         self.has_opened = false;
         self.acknowledgement = None;
     }
 
-    /// Takes a packet of an open flow; says whether its flow is known to have opened at the host.
+    /// Records a packet of an open flow, and returns whether its flow is known to have opened at the host.
     ///
-    /// A packet whose number is far from the last one belongs to a later flow between the same ends.
-    fn take_packet(&mut self, segment: &Segment, now_ms: u64) -> bool {
+    /// A packet whose acknowledgement is far from the last one belongs to a later flow between the
+    /// same ends.
+    fn record_packet(&mut self, segment: &Segment, now_ms: u64) -> bool {
         self.last_seen_ms = now_ms;
         let seen = self.acknowledgement.replace(segment.acknowledgement);
         let is_near = |seen: u32| {
             let ahead = segment.acknowledgement.wrapping_sub(seen);
-            ahead.min(ahead.wrapping_neg()) <= MAX_ACKNOWLEDGED_APART
+            ahead.min(ahead.wrapping_neg()) <= MAX_ACKNOWLEDGEMENT_GAP
         };
         self.has_opened &= seen.is_none_or(is_near);
         self.has_opened
     }
 }
 
-/// What a balancer remembers of flows.
+/// Decides where a balancer forwards packets, by its hints and by the loads of backend servers.
 #[derive(Debug)]
 pub struct Forwarder {
     wire: WireFormat,
@@ -75,22 +78,23 @@
     metrics: OpaqueMetrics,
     flow_lifetime_ms: u64,
     hints: FlowMap<Hint>,
-    watched: VecDeque<SentOpener>,
-    unanswered: Vec<(Ipv4Addr, u32)>,
+    sent_openers: VecDeque<SentOpener>,
+    /// The number of consecutive unanswered openers of each host, sorted by host.
+    unanswered_in_a_row: Vec<(Ipv4Addr, u32)>,
     loads: HostLoads,
-    /// The loads over a longer time, of which agents are told the mean.
+    /// The loads over ten seconds, whose mean goes to agents with each opener.
     steady_loads: HostLoads,
     means: ServiceMeans,
     waits: KnownWaits,
-    /// Openers that came before a configuration.
-    early: EarlyOpeners<FlowKey, Vec<u8>>,
+    /// Openers that arrived before a configuration.
+    early_openers: EarlyOpeners<FlowKey, Vec<u8>>,
     retries: RetryTracker,
 }
 
 impl Forwarder {
-    /// Makes the forwarder of the balancer on `host`, which stands in an availability zone.
+    /// Creates the forwarder of the balancer on `host` in the availability zone `zone`.
     ///
-    /// Hints live as long as a flow may, `flow_lifetime_ms` after its last packet.
+    /// Hints expire `flow_lifetime_ms` after the last packet of their flow.
     pub fn new(
         wire: WireFormat,
         host: Ipv4Addr,
@@ -105,22 +109,22 @@
             metrics: metrics.clone(),
             flow_lifetime_ms,
             hints: FlowMap::new(MAX_HINTS),
-            watched: VecDeque::new(),
-            unanswered: Vec::new(),
+            sent_openers: VecDeque::new(),
+            unanswered_in_a_row: Vec::new(),
             loads: HostLoads::default(),
             steady_loads: HostLoads::default(),
             means: ServiceMeans::default(),
             waits: KnownWaits::default(),
-            early: EarlyOpeners::default(),
+            early_openers: EarlyOpeners::default(),
             retries: RetryTracker::new(),
         }
     }
 
-    /// Decides about a caller's packet.
+    /// Returns the action for a caller's packet.
     ///
     /// # Errors
     ///
-    /// Returns the code for which the packet is dropped.
+    /// Returns the code that says why the packet is dropped.
     pub fn handle(
         &mut self,
         directory: &Directory,
@@ -131,16 +135,16 @@
         let segment = (self.wire.decode)(&packet)?;
         let flow = segment.flow_from_caller();
         if directory.routes().get(flow.called).is_none() {
-            return self.refuse(&segment, Code::RouteUnknown);
+            return self.reset_flow(&segment, Code::RouteUnknown);
         }
         if !segment.opens {
             let (host, has_opened) = self.packet_host(directory, suspicion, &segment, now_ms)?;
-            let mut message = self.message(0);
+            let mut message = self.delivery_message(0);
             message.has_opened = has_opened;
             return Ok(Action::ToPeer(host, message, packet));
         }
         if let Some(hint) = self.hints.get_mut(&flow) {
-            hint.forget_opened();
+            hint.clear_opened();
         }
         let attempt = segment.acknowledgement as usize;
         if directory.has_deadline(flow.called) {
@@ -148,20 +152,22 @@
         }
         let host = match self.opener_host(directory, suspicion, &flow, attempt, now_ms) {
             Err(_) if is_evacuated_for(directory, &segment) => {
-                return self.refuse(&segment, Code::ServiceEvacuated);
+                return self.reset_flow(&segment, Code::ServiceEvacuated);
             }
             host => host?,
         };
-        let waited_ms = self.caller_waited_ms(&flow, attempt, now_ms);
-        let watched = SentOpener::new(&segment, host, waited_ms, packet.clone(), now_ms);
-        self.watch(watched);
-        let mut message = self.message(waited_ms);
+        let waited_ms = self.caller_wait_ms(&flow, attempt, now_ms);
+        let sent = SentOpener::new(&segment, host, waited_ms, packet.clone(), now_ms);
+        self.track(sent);
+        let mut message = self.delivery_message(waited_ms);
         message.load_permille = self.mean_load(directory, &flow, now_ms);
         Ok(Action::ToPeer(host, message, packet))
     }
 
-    /// Returns for how long the caller of an opener had waited before its first copy, and counts known retries.
-    fn caller_waited_ms(&mut self, flow: &FlowKey, attempt: usize, now_ms: u64) -> u64 {
+    /// Returns how long the caller of an opener had waited before its first copy, in milliseconds.
+    ///
+    /// Counts the openers that are known to be retries.
+    fn caller_wait_ms(&mut self, flow: &FlowKey, attempt: usize, now_ms: u64) -> u64 {
         let waited_ms = self.retries.waited_ms(flow, attempt > 0, now_ms);
         self.metrics
             .retries_known
@@ -169,8 +175,9 @@
         waited_ms
     }
 
-    /// Returns the mean load of the backend servers among which a flow's agent was chosen, by which that agent
-    /// knows whether it has more to do than others.
+    /// Returns the mean load of the backend servers of a flow's service, in thousandths.
+    ///
+    /// The agent that gets the opener compares its own load with this mean.
     fn mean_load(&mut self, directory: &Directory, flow: &FlowKey, now_ms: u64) -> u16 {
         let service = directory.service_of(flow);
         let table = service.and_then(|service| Some((service, directory.table(service)?)));
@@ -180,33 +187,35 @@
         })
     }
 
-    /// Notes that an attempt of a caller failed after it had waited for so long.
+    /// Records that an attempt of a caller failed after `waited_ms`.
     pub fn record_failed_attempt(&mut self, flow: &FlowKey, waited_ms: u16, now_ms: u64) {
         let caller = *flow.caller.ip();
         self.retries
             .record_failure(caller, u64::from(waited_ms), now_ms);
     }
 
-    /// Notes that an agent said something, whatever it was, and the load that it told.
+    /// Records that a message arrived from an agent, with the load in it.
+    ///
+    /// Any message ends the agent's count of consecutive unanswered openers.
     pub fn record_message(&mut self, host: Ipv4Addr, load_permille: u16, now_ms: u64) {
         self.loads.record(host, load_permille, now_ms);
         if let Ok(index) = self
-            .unanswered
+            .unanswered_in_a_row
             .binary_search_by_key(&host, |(host, _)| *host)
         {
-            self.unanswered.remove(index);
+            self.unanswered_in_a_row.remove(index);
         }
     }
 
-    /// Notes the load of an agent's backend server over a longer time.
+    /// Records the load of an agent's backend server over ten seconds.
     pub fn record_steady_load(&mut self, host: Ipv4Addr, load_permille: u16, now_ms: u64) {
         self.steady_loads.record(host, load_permille, now_ms);
     }
 
-    /// Notes who holds a flow.
+    /// Records the agent that holds a flow.
     pub fn record_holder(&mut self, flow: FlowKey, host: Ipv4Addr, now_ms: u64) {
         let held = self.hints.get_mut(&flow);
-        // Who took an opener too late says so when the flow has opened elsewhere.
+        // An agent that took a late copy of the opener reports it when the flow has opened elsewhere.
         if let Some(hint) = held.filter(|hint| hint.has_opened) {
             hint.last_seen_ms = now_ms;
             return;
@@ -214,7 +223,7 @@
         self.set_hint(flow, host, false, now_ms);
     }
 
-    /// Notes that a flow has opened at a host.
+    /// Records that a flow has opened at a host.
     pub fn record_opened(&mut self, flow: FlowKey, host: Ipv4Addr, now_ms: u64) {
         self.set_hint(flow, host, true, now_ms);
     }
@@ -233,11 +242,11 @@
         self.metrics.hints_held.set(self.hints.len() as i64);
     }
 
-    /// Forgets flows of which nothing was heard for as long as a flow lives.
+    /// Removes expired hints, loads, waits, early openers and retries.
     pub fn expire(&mut self, now_ms: u64) {
         self.loads.expire(now_ms);
         self.waits.expire(now_ms);
-        self.early.expire(now_ms);
+        self.early_openers.expire(now_ms);
         self.steady_loads.expire(now_ms);
         self.retries.expire(now_ms);
         let lifetime_ms = self.flow_lifetime_ms;
@@ -250,8 +259,8 @@
         self.hints.len()
     }
 
-    /// Ends a flow that can't be served, at once: its caller need not wait.
-    fn refuse(&self, segment: &Segment, code: Code) -> Result<Action> {
+    /// Resets a flow that can't be served, so that its caller does not wait for a timeout.
+    fn reset_flow(&self, segment: &Segment, code: Code) -> Result<Action> {
         if segment.resets {
             return Err(Error::new(code, segment.destination.to_string()));
         }
@@ -266,11 +275,12 @@
         Ok(Action::ToCaller(flow.caller, reset))
     }
 
-    /// Returns the agent for a copy of an opener: the one that has it already, or the next that has not.
+    /// Returns the agent for a copy of an opener: the one that has the opener already, or the next
+    /// candidate.
     ///
-    /// Of the two first in the order of the flow the one whose backend server has clearly less to do
-    /// comes first. Bounded by two, so that balancers which heard different loads send one flow to two
-    /// agents at most; imbalance of a rush falls as with any choice of two.
+    /// Of the first two candidates, the one whose backend server is clearly less loaded comes first
+    /// (power of two choices). With only two, balancers that know different loads send one flow to at
+    /// most two agents.
     fn opener_host(
         &self,
         directory: &Directory,
@@ -294,8 +304,9 @@
         Ok(order[attempt % order.len()])
     }
 
-    /// Returns the agent for any other packet, the holder or one that can find it, and whether the flow is known to
-    /// have opened there.
+    /// Returns the agent for any other packet, and whether the flow is known to have opened there.
+    ///
+    /// The agent is the holder of the flow, or one that can look it up.
     fn packet_host(
         &mut self,
         directory: &Directory,
@@ -308,12 +319,13 @@
             && directory.is_current(hint.host)
         {
             self.metrics.hints_right.inc();
-            return Ok((hint.host, hint.take_packet(segment, now_ms)));
+            return Ok((hint.host, hint.record_packet(segment, now_ms)));
         }
         let order = candidates::by_preference(directory, suspicion, &self.zone, &flow, now_ms);
         match order {
             Ok(order) => Ok((order[0], false)),
-            // Those that take no new flow hold open ones: a drain or an evacuation of all must not stop them.
+            // Agents that take no new flows still hold open ones, which go on while all of them are
+            // drained or evacuated.
             Err(error) => {
                 let host = candidates::first_agent(directory, &flow).ok_or(error)?;
                 Ok((host, false))
@@ -321,12 +333,12 @@
         }
     }
 
-    fn deliver(&self, host: Ipv4Addr, packet: Vec<u8>, waited_ms: u64) -> Action {
-        Action::ToPeer(host, self.message(waited_ms), packet)
+    fn delivery(&self, host: Ipv4Addr, packet: Vec<u8>, waited_ms: u64) -> Action {
+        Action::ToPeer(host, self.delivery_message(waited_ms), packet)
     }
 
-    /// Makes the message with which a packet of a caller that has waited for so long goes to an agent.
-    fn message(&self, waited_ms: u64) -> Message {
+    /// Creates the message that delivers a packet whose caller has waited for `waited_ms`.
+    fn delivery_message(&self, waited_ms: u64) -> Message {
         let mut message = Message::new(MessageKind::Deliver);
         message.host = self.host;
         message.waited_ms = u16::try_from(waited_ms).unwrap_or(u16::MAX);
@@ -334,28 +346,32 @@
     }
 }
 
-/// Tells whether an opener finds its whole service evacuated and no agent can have it.
+/// Returns whether the service of an opener is evacuated and no agent can have the opener.
 ///
-/// Copies come only from callers whose first one went to an agent, which may have taken it since.
+/// The caller of a later copy has sent a first one, which an agent may have taken meanwhile.
 fn is_evacuated_for(directory: &Directory, opener: &Segment) -> bool {
     opener.acknowledgement == 0 && candidates::is_service_evacuated(directory, &opener.flow_from_caller())
 }
 
-/// Returns the load over a longer time that the payload of a [`MessageKind::Holds`] or [`MessageKind::Declined`]
-/// tells behind its flow.
+/// Returns the load over ten seconds, in thousandths, from the payload of a [`MessageKind::Holds`] or
+/// [`MessageKind::Declined`].
+///
+/// Returns `None` if the payload ends after its flow.
 pub fn decode_steady_load(payload: &[u8]) -> Option<u16> {
     let bytes = payload.get(FLOW_KEY_BYTES..)?.first_chunk()?;
     Some(u16::from_be_bytes(*bytes))
 }
 
-/// Returns for how long a new flow would wait at the sender of a [`MessageKind::Holds`] or
-/// [`MessageKind::Declined`], in milliseconds, where its payload tells that.
+/// Returns how long a new flow would wait at the sender, in milliseconds, from the payload of a
+/// [`MessageKind::Holds`] or [`MessageKind::Declined`].
+///
+/// Returns `None` if the payload ends before it.
 pub fn decode_wait_ms(payload: &[u8]) -> Option<u16> {
     let bytes = payload.get(FLOW_KEY_BYTES + 2..)?.first_chunk()?;
     Some(u16::from_be_bytes(*bytes))
 }
 
-/// Returns the flow that the payload of a message names.
+/// Returns the flow at the start of a message payload.
 pub(crate) fn decode_flow(payload: &[u8]) -> Option<FlowKey> {
     FlowKey::from_bytes(payload.get(..FLOW_KEY_BYTES)?)
 }
--- a/src/opaque/forwarder/offers.rs
+++ b/src/opaque/forwarder/offers.rs
@@ -1,4 +1,6 @@
-//! Openers whose callers have time for one attempt: offered from agent to agent by what each would let them wait.
+//! Offers of openers on routes with a deadline, whose callers have time for one attempt.
+//!
+//! An opener is offered to one agent after another, which are chosen by their expected waits.
 //!
 //! See docs/design/offers.md.
 
@@ -17,24 +19,24 @@
 use crate::opaque::values::directory::Directory;
 
 impl SentOpener {
-    /// Tells whether it is offered by what agents would let it wait.
+    /// Returns whether the opener is offered by the expected waits of agents.
     pub(super) fn is_offer(&self) -> bool {
-        !self.offered.is_empty()
+        !self.offered_hosts.is_empty()
     }
 }
 
 impl Forwarder {
-    /// Notes for how long a new flow would wait at an agent.
+    /// Records how long a new flow would wait at an agent.
     pub fn record_wait(&mut self, directory: &Directory, host: Ipv4Addr, wait_ms: u16, now_ms: u64) {
         let is_near = directory.is_in_zone(host, &self.zone);
         self.waits.heard(host, is_near, wait_ms, now_ms);
     }
 
-    /// Sends a copy of an opener to the agent that has it, or offers it to one.
+    /// Sends a copy of an opener to the agent that has it, or offers it to an agent.
     ///
-    /// Each copy is watched for an answer, also one to the agent that has the opener: it may have ended with all
-    /// that waited there. One that was kept here for `kept_ms` has waited for so much longer than its copy tells. The
-    /// caller is told where the whole service is evacuated.
+    /// The answer to each copy is awaited, even if an agent has the opener: its process may have ended
+    /// with everything that waited there. An opener that this balancer kept for `kept_ms` has waited
+    /// for so much longer than its copy shows. If the whole service is evacuated, the flow is reset.
     pub(super) fn offer(
         &mut self,
         directory: &Directory,
@@ -47,43 +49,43 @@
         let flow = segment.flow_from_caller();
         let attempt = segment.acknowledgement as usize;
         let came_ms = now_ms.saturating_sub(kept_ms);
-        let waited_ms = self.caller_waited_ms(&flow, attempt, came_ms) + kept_ms;
-        self.watched.retain(|watched| watched.flow != flow);
-        let mut watched = SentOpener::new(segment, Ipv4Addr::UNSPECIFIED, waited_ms, packet, now_ms);
+        let waited_ms = self.caller_wait_ms(&flow, attempt, came_ms) + kept_ms;
+        self.sent_openers.retain(|sent| sent.flow != flow);
+        let mut sent = SentOpener::new(segment, Ipv4Addr::UNSPECIFIED, waited_ms, packet, now_ms);
         let held = self.hints.get(&flow).map(|hint| hint.host);
         let is_there =
             |host: &Ipv4Addr| directory.is_current(*host) && !suspicion.is_suspected(*host, now_ms);
         let Some(host) = held.filter(is_there) else {
-            return match self.offer_next(directory, suspicion, watched, now_ms) {
+            return match self.offer_next(directory, suspicion, sent, now_ms) {
                 Err(_) if is_evacuated_for(directory, segment) => {
-                    self.refuse(segment, Code::ServiceEvacuated)
+                    self.reset_flow(segment, Code::ServiceEvacuated)
                 }
                 offer => offer,
             };
         };
-        watched.host = host;
-        watched.offered.push(host);
-        let action = self.deliver(host, watched.packet.clone(), waited_ms);
-        self.watch(watched);
+        sent.host = host;
+        sent.offered_hosts.push(host);
+        let action = self.delivery(host, sent.packet.clone(), waited_ms);
+        self.track(sent);
         Ok(action)
     }
 
-    /// Offers an opener to the next agent, or assigns it to the best one.
+    /// Offers an opener to the next agent, or assigns it to the best one, which can't decline it.
     pub(super) fn offer_next(
         &mut self,
         directory: &Directory,
         suspicion: &Suspicion,
-        mut watched: SentOpener,
+        mut sent: SentOpener,
         now_ms: u64,
     ) -> Result<Action> {
-        let flow = watched.flow;
+        let flow = sent.flow;
         let none = || Error::new(Code::HostUnknown, flow.called.to_string());
-        let candidates = self.candidates(directory, suspicion, &watched, now_ms)?;
+        let candidates = self.candidates(directory, suspicion, &sent, now_ms)?;
         let offer = choose(&candidates).ok_or_else(none)?;
-        let mut message = self.message(watched.waited_ms);
+        let mut message = self.delivery_message(sent.waited_ms);
         let host = match offer {
-            // One that says nothing may be of a version that knows no offers.
-            Offer::MayDecline(host, _) if watched.was_missed => host,
+            // An agent that does not answer may run a version without offers.
+            Offer::MayDecline(host, _) if sent.was_unanswered => host,
             Offer::MayDecline(host, most_ms) => {
                 message.kind = MessageKind::Offer;
                 message.max_wait_ms = most_ms as u16;
@@ -95,16 +97,16 @@
         self.metrics.openers_offered.inc();
         log::debug!(
             "event=opener_offered flow={flow} host={host} offers={} assigned={}",
-            watched.offered.len() + 1,
+            sent.offered_hosts.len() + 1,
             message.kind == MessageKind::Deliver
         );
         self.waits.sent(host);
-        watched.host = host;
-        watched.offered.push(host);
-        watched.sent_ms = now_ms;
-        watched.due_ms = now_ms + ANSWER_TIMEOUT_MS;
-        let action = Action::ToPeer(host, message, watched.packet.clone());
-        self.watch(watched);
+        sent.host = host;
+        sent.offered_hosts.push(host);
+        sent.sent_ms = now_ms;
+        sent.due_ms = now_ms + ANSWER_TIMEOUT_MS;
+        let action = Action::ToPeer(host, message, sent.packet.clone());
+        self.track(sent);
         Ok(action)
     }
 
@@ -112,35 +114,35 @@
         &self,
         directory: &Directory,
         suspicion: &Suspicion,
-        watched: &SentOpener,
+        sent: &SentOpener,
         now_ms: u64,
     ) -> Result<Vec<Candidate>> {
-        let flow = &watched.flow;
+        let flow = &sent.flow;
         let hosts = candidates::for_offers(directory, suspicion, &self.zone, flow, now_ms)?;
         let candidate = |(host, is_near)| Candidate {
             host,
             is_near,
             wait_ms: self.waits.get(host, now_ms),
             level_ms: self.waits.level_ms(is_near, now_ms),
-            was_offered: watched.offered.contains(&host),
+            was_offered: sent.offered_hosts.contains(&host),
         };
         Ok(hosts.into_iter().map(candidate).collect())
     }
 
-    /// Tells whether an opener's agent has answered since it was sent there.
-    pub(super) fn is_answered(&self, watched: &SentOpener) -> bool {
-        let hint = self.hints.get(&watched.flow);
-        hint.is_some_and(|hint| !watched.is_offer() || hint.last_seen_ms >= watched.sent_ms)
+    /// Returns whether the agent of an opener has answered since the opener was sent there.
+    pub(super) fn is_answered(&self, sent: &SentOpener) -> bool {
+        let hint = self.hints.get(&sent.flow);
+        hint.is_some_and(|hint| !sent.is_offer() || hint.last_seen_ms >= sent.sent_ms)
     }
 
-    /// Forgets that an agent has an opener about which it no longer answers.
-    pub(super) fn forget_hint(&mut self, watched: &SentOpener) {
+    /// Removes the hint to an agent that no longer answers about an opener.
+    pub(super) fn remove_hint(&mut self, sent: &SentOpener) {
         if self
             .hints
-            .get(&watched.flow)
-            .is_some_and(|hint| hint.host == watched.host)
+            .get(&sent.flow)
+            .is_some_and(|hint| hint.host == sent.host)
         {
-            self.hints.remove(&watched.flow);
+            self.hints.remove(&sent.flow);
         }
     }
 }
--- a/src/opaque/forwarder/sent_openers.rs
+++ b/src/opaque/forwarder/sent_openers.rs
@@ -1,4 +1,5 @@
-//! Openers whose agents have not answered yet: sent on where they are declined or nobody answers.
+//! Openers whose agents have not answered yet. They go to the next agent if they are declined or
+//! remain unanswered.
 
 use std::net::Ipv4Addr;
 
@@ -8,39 +9,42 @@
 use crate::opaque::packets::segment::{FlowKey, Segment};
 use crate::opaque::values::directory::Directory;
 
-/// How long an agent may take to say that it has an opener, in milliseconds: several round trips
-/// between availability zones, and half of the wait after which callers send a copy.
+/// The time within which an agent must answer an opener, in milliseconds: several round trips between
+/// availability zones, and half of the interval after which callers send a copy.
 pub(super) const ANSWER_TIMEOUT_MS: u64 = 100;
-/// After how many openers in a row without an answer an agent is suspected: one may be lost or late.
-const SUSPECT_AFTER: u32 = 2;
-/// How many agents may decline an opener: of four in a row one almost always has no more than the mean.
-const MAX_DECLINED: usize = 3;
-/// How many openers are watched for their agents' answers at once.
-const MAX_WATCHED: usize = 4_096;
+/// The number of consecutive unanswered openers after which an agent is suspected. A single one may be
+/// lost or late.
+const SUSPECT_AFTER_UNANSWERED: u32 = 2;
+/// The most agents that may decline an opener. Of four agents, at least one almost always has no more
+/// load than the mean.
+const MAX_DECLINES: usize = 3;
+/// The most openers whose answers are awaited at once.
+const MAX_SENT_OPENERS: usize = 4_096;
 
-/// An opener whose agent has not answered yet.
+/// An opener that was sent to an agent that has not answered yet.
 #[derive(Debug, Clone)]
 pub(super) struct SentOpener {
+    /// When the answer is overdue.
     pub(super) due_ms: u64,
     pub(super) flow: FlowKey,
     pub(super) host: Ipv4Addr,
     pub(super) attempt: usize,
-    /// How many agents with more to do than others declined it.
-    pub(super) declined: usize,
-    /// The agents to which it was offered by what they would let it wait; none where it was not.
-    pub(super) offered: Vec<Ipv4Addr>,
+    /// The number of agents that declined it because their load is above the mean.
+    pub(super) declines: usize,
+    /// The agents to which it was offered by their expected waits; empty if it was not offered.
+    pub(super) offered_hosts: Vec<Ipv4Addr>,
     pub(super) sent_ms: u64,
-    /// Whether an agent to which it was offered said nothing.
-    pub(super) was_missed: bool,
-    /// For how long its caller had waited before the first copy, in milliseconds.
+    /// Whether an agent to which it was offered did not answer.
+    pub(super) was_unanswered: bool,
+    /// How long its caller had waited before the first copy, in milliseconds.
     pub(super) waited_ms: u64,
     pub(super) packet: Vec<u8>,
 }
 
 impl SentOpener {
-    /// Makes the watch of an opener that goes to an agent now.
+    /// Creates the record of an opener that is sent to an agent now.
     pub(super) fn new(
-        opener: &Segment,
+        segment: &Segment,
         host: Ipv4Addr,
         waited_ms: u64,
         packet: Vec<u8>,
@@ -48,13 +52,13 @@
     ) -> Self {
         Self {
             due_ms: now_ms + ANSWER_TIMEOUT_MS,
-            flow: opener.flow_from_caller(),
+            flow: segment.flow_from_caller(),
             host,
-            attempt: opener.acknowledgement as usize,
-            declined: 0,
-            offered: Vec::new(),
+            attempt: segment.acknowledgement as usize,
+            declines: 0,
+            offered_hosts: Vec::new(),
             sent_ms: now_ms,
-            was_missed: false,
+            was_unanswered: false,
             waited_ms,
             packet,
         }
@@ -62,13 +66,15 @@
 }
 
 impl Forwarder {
-    /// Notes that an agent has an opener and looks for another that takes it.
+    /// Records that an agent has passed an opener on to another agent.
+    ///
+    /// That agent's answer is no longer awaited.
     pub fn record_handed_on(&mut self, flow: &FlowKey, host: Ipv4Addr) {
-        self.watched
-            .retain(|watched| watched.flow != *flow || watched.host != host);
+        self.sent_openers
+            .retain(|sent| sent.flow != *flow || sent.host != host);
     }
 
-    /// Offers an opener that an agent with much to do declined to the next one, which may decline it too.
+    /// Sends an opener that an agent declined to the next agent, which may decline it too.
     pub fn handle_decline(
         &mut self,
         directory: &Directory,
@@ -77,34 +83,34 @@
         host: Ipv4Addr,
         now_ms: u64,
     ) -> Option<Action> {
-        let is_it = |watched: &SentOpener| watched.flow == *flow && watched.host == host;
-        let index = self.watched.iter().position(is_it)?;
-        let mut watched = self.watched.remove(index)?;
-        if watched.is_offer() {
-            return self.offer_next(directory, suspicion, watched, now_ms).ok();
+        let is_declined = |sent: &SentOpener| sent.flow == *flow && sent.host == host;
+        let index = self.sent_openers.iter().position(is_declined)?;
+        let mut sent = self.sent_openers.remove(index)?;
+        if sent.is_offer() {
+            return self.offer_next(directory, suspicion, sent, now_ms).ok();
         }
-        watched.attempt += 1;
-        watched.declined += 1;
-        watched.due_ms = now_ms + ANSWER_TIMEOUT_MS;
-        let attempt = watched.attempt;
-        watched.host = self
+        sent.attempt += 1;
+        sent.declines += 1;
+        sent.due_ms = now_ms + ANSWER_TIMEOUT_MS;
+        let attempt = sent.attempt;
+        sent.host = self
             .opener_host(directory, suspicion, flow, attempt, now_ms)
             .ok()?;
-        let mut message = self.message(0);
-        if watched.declined < MAX_DECLINED {
+        let mut message = self.delivery_message(0);
+        if sent.declines < MAX_DECLINES {
             message.load_permille = self.mean_load(directory, flow, now_ms);
         }
-        let action = Action::ToPeer(watched.host, message, watched.packet.clone());
-        self.watch(watched);
+        let action = Action::ToPeer(sent.host, message, sent.packet.clone());
+        self.track(sent);
         Some(action)
     }
 
-    /// Tells whether [`Forwarder::tick`] has something to wait for.
+    /// Returns whether an opener awaits an answer, so that [`Forwarder::tick`] must be called.
     pub fn is_waiting(&self) -> bool {
-        !self.watched.is_empty()
+        !self.sent_openers.is_empty()
     }
 
-    /// Sends openers whose agents did not answer in time to the next candidate.
+    /// Sends the openers that were not answered in time to their next candidates.
     pub fn tick(
         &mut self,
         directory: &Directory,
@@ -113,63 +119,63 @@
     ) -> Vec<Action> {
         let mut actions = Vec::new();
         while self
-            .watched
+            .sent_openers
             .front()
-            .is_some_and(|watched| watched.due_ms <= now_ms)
+            .is_some_and(|sent| sent.due_ms <= now_ms)
         {
-            let Some(mut watched) = self.watched.pop_front() else {
+            let Some(mut sent) = self.sent_openers.pop_front() else {
                 break;
             };
-            if self.is_answered(&watched) {
+            if self.is_answered(&sent) {
                 continue;
             }
             self.metrics.openers_unanswered.inc();
-            if self.miss(watched.host) >= SUSPECT_AFTER {
-                suspicion.suspect(watched.host, now_ms);
+            if self.count_unanswered(sent.host) >= SUSPECT_AFTER_UNANSWERED {
+                suspicion.suspect(sent.host, now_ms);
                 self.metrics.hosts_suspected.inc();
             }
             log::info!(
                 "event=opener_unanswered flow={} host={} waited_ms={ANSWER_TIMEOUT_MS} attempt={}",
-                watched.flow,
-                watched.host,
-                watched.attempt
+                sent.flow,
+                sent.host,
+                sent.attempt
             );
-            if watched.is_offer() {
-                self.forget_hint(&watched);
-                watched.was_missed = true;
-                let next = self.offer_next(directory, suspicion, watched, now_ms);
+            if sent.is_offer() {
+                self.remove_hint(&sent);
+                sent.was_unanswered = true;
+                let next = self.offer_next(directory, suspicion, sent, now_ms);
                 actions.extend(next.ok());
                 continue;
             }
-            let attempt = watched.attempt + 1;
-            let next = self.opener_host(directory, suspicion, &watched.flow, attempt, now_ms);
+            let attempt = sent.attempt + 1;
+            let next = self.opener_host(directory, suspicion, &sent.flow, attempt, now_ms);
             if let Ok(host) = next
-                && host != watched.host
+                && host != sent.host
             {
-                let waited_ms = self.retries.waited_ms(&watched.flow, true, now_ms);
-                actions.push(self.deliver(host, watched.packet, waited_ms));
+                let waited_ms = self.retries.waited_ms(&sent.flow, true, now_ms);
+                actions.push(self.delivery(host, sent.packet, waited_ms));
             }
         }
         actions
     }
 
-    /// Counts an opener without an answer; returns how many there were in a row.
-    fn miss(&mut self, host: Ipv4Addr) -> u32 {
+    /// Counts an unanswered opener, and returns the number of consecutive ones at this host.
+    fn count_unanswered(&mut self, host: Ipv4Addr) -> u32 {
         let found = self
-            .unanswered
+            .unanswered_in_a_row
             .binary_search_by_key(&host, |(host, _)| *host);
         let index = found.unwrap_or_else(|index| {
-            self.unanswered.insert(index, (host, 0));
+            self.unanswered_in_a_row.insert(index, (host, 0));
             index
         });
-        self.unanswered[index].1 += 1;
-        self.unanswered[index].1
+        self.unanswered_in_a_row[index].1 += 1;
+        self.unanswered_in_a_row[index].1
     }
 
-    pub(super) fn watch(&mut self, watched: SentOpener) {
-        let is_known = self.hints.get(&watched.flow).is_some() && !watched.is_offer();
-        if self.watched.len() < MAX_WATCHED && !is_known {
-            self.watched.push_back(watched);
+    pub(super) fn track(&mut self, sent: SentOpener) {
+        let is_known = self.hints.get(&sent.flow).is_some() && !sent.is_offer();
+        if self.sent_openers.len() < MAX_SENT_OPENERS && !is_known {
+            self.sent_openers.push_back(sent);
         }
     }
 }
--- a/src/opaque/forwarder/without_routes.rs
+++ b/src/opaque/forwarder/without_routes.rs
@@ -1,4 +1,4 @@
-//! Packets that reach a balancer before it has a configuration.
+//! Packets that arrive at a balancer before it has a configuration.
 
 use crate::code::Code;
 use crate::decisions::suspicion::Suspicion;
@@ -10,12 +10,14 @@
 use crate::opaque::values::directory::Directory;
 
 impl Forwarder {
-    /// Decides about a caller's packet while no configuration is known: what opens nothing is shown to agents
-    /// until one of them holds its flow, and what opens a flow waits for a configuration.
+    /// Returns the actions for a caller's packet while the balancer has no configuration.
+    ///
+    /// A packet of an open flow is shown to agents until one of them holds the flow. An opener is kept
+    /// until there is a configuration.
     ///
     /// # Errors
     ///
-    /// Returns the code for which the packet goes no further now.
+    /// Returns the code that says why the packet is not forwarded now.
     pub fn handle_without_routes(
         &mut self,
         search: &mut FlowSearch,
@@ -26,14 +28,14 @@
         let flow = segment.flow_from_caller();
         if segment.opens {
             let copy = segment.acknowledgement;
-            let is_kept = self.early.keep(flow, copy, packet.to_vec(), now_ms);
+            let is_kept = self.early_openers.keep(flow, copy, packet.to_vec(), now_ms);
             log::info!("event=opener_waits flow={flow} copy={copy} kept={is_kept}");
             return Err(Error::new(Code::RouteUnknown, flow.called.to_string()));
         }
         if let Some(hint) = self.hints.get_mut(&flow) {
             hint.last_seen_ms = now_ms;
             let host = hint.host;
-            return Ok(vec![self.deliver(host, packet.to_vec(), 0)]);
+            return Ok(vec![self.delivery(host, packet.to_vec(), 0)]);
         }
         let find = Message::new(MessageKind::Find);
         let agents = search.next_agents(&flow, now_ms);
@@ -44,9 +46,9 @@
         Ok(shown.collect())
     }
 
-    /// Offers the openers that came before a configuration, once one is in force.
+    /// Offers the openers that arrived before the configuration that is now in force.
     ///
-    /// Only those whose callers have time for one attempt; the others send copies.
+    /// Only openers of routes with a deadline are offered. Other callers send copies.
     pub fn offer_early_openers(
         &mut self,
         directory: &Directory,
@@ -60,7 +62,7 @@
                 directory.routes().get(called).is_some() && directory.has_deadline(called)
             })
         };
-        let early = self.early.take_if(now_ms, can_be_offered);
+        let early = self.early_openers.take_if(now_ms, can_be_offered);
         let count = early.len();
         let mut actions = Vec::new();
         for opener in early {
--- a/src/opaque/openers/candidates.rs
+++ b/src/opaque/openers/candidates.rs
@@ -1,4 +1,4 @@
-//! The agents that a balancer may send a flow to, in the order in which they are tried.
+//! The candidate agents for a flow, in the order in which a balancer tries them.
 
 use std::net::Ipv4Addr;
 use std::ops::RangeInclusive;
@@ -11,18 +11,23 @@
 use crate::opaque::packets::segment::FlowKey;
 use crate::opaque::values::directory::Directory;
 
-/// Of how many agents that are first by hash the nearest comes first: half of a service's, within these
-/// limits. Where a flow crosses zones, its operator pays for the bytes and its caller waits 1.4 ms a packet;
-/// where all agents could be chosen, callers of a zone would draw to the few servers in it (the
-/// busiest of seven stood at 1.31 of the mean then, and at 1.11 with three).
-const NEAR_CHOICE: RangeInclusive<usize> = 3..=8;
+/// The limits of the number of first candidates by hash among which an agent in the balancer's zone is
+/// preferred; within them it is half of the service's agents.
+///
+/// A flow that crosses zones costs its operator traffic and its caller 1.4 ms for each packet. If all
+/// agents could be preferred, callers in a zone with few backend servers would overload these: the
+/// busiest of seven had 1.31 times the mean load then, and 1.11 times with a limit of three.
+const ZONE_PREFERENCE_CANDIDATES: RangeInclusive<usize> = 3..=8;
 
 /// Returns the agents that a flow may go to, in the order in which copies of its opener are sent to
-/// them: as its hash ranks them, but the first of a few in this availability zone before all others.
+/// them.
+///
+/// They are ranked by hash, but among the first few the first one in this availability zone moves to
+/// the front.
 ///
 /// # Errors
 ///
-/// Returns code 4006 where no backend server takes flows; the order is never empty.
+/// Returns code 4006 if no backend server takes flows. The order is never empty.
 pub(crate) fn by_preference(
     directory: &Directory,
     suspicion: &Suspicion,
@@ -31,22 +36,24 @@
     now_ms: u64,
 ) -> Result<Vec<Ipv4Addr>> {
     let mut order = ranked(directory, suspicion, flow, now_ms)?;
-    let choice = (order.len() / 2).clamp(*NEAR_CHOICE.start(), *NEAR_CHOICE.end());
+    let preferred = (order.len() / 2).clamp(*ZONE_PREFERENCE_CANDIDATES.start(), *ZONE_PREFERENCE_CANDIDATES.end());
     let length = order.len();
-    let few = &mut order[..choice.min(length)];
+    let first = &mut order[..preferred.min(length)];
     let is_near = |host: &Ipv4Addr| directory.is_in_zone(*host, zone);
-    if let Some(nearest) = few.iter().position(is_near) {
-        few[..=nearest].rotate_right(1);
+    if let Some(nearest) = first.iter().position(is_near) {
+        first[..=nearest].rotate_right(1);
     }
     Ok(order)
 }
 
-/// Returns the agents to which an opener may be offered one after the other, each with whether it stands in this
-/// availability zone: the first of it by hash, then some of the others.
+/// Returns the agents to which an opener may be offered, each with whether it is in this availability
+/// zone.
+///
+/// The first ones by hash in this zone come first, then some in other zones.
 ///
 /// # Errors
 ///
-/// Returns code 4006 where no backend server takes flows.
+/// Returns code 4006 if no backend server takes flows.
 pub(crate) fn for_offers(
     directory: &Directory,
     suspicion: &Suspicion,
@@ -58,14 +65,16 @@
     let is_near = |host: &Ipv4Addr| directory.is_in_zone(*host, zone);
     let (near, far): (Vec<Ipv4Addr>, Vec<Ipv4Addr>) = order.into_iter().partition(is_near);
     let near: Vec<Ipv4Addr> = near.into_iter().take(MAX_NEAR).collect();
-    // A zone with few backend servers asks as many in all.
-    let more = MAX_NEAR - near.len();
-    let far = far.into_iter().take(MAX_FAR + more);
+    // If the zone has few backend servers, others take their places.
+    let unused = MAX_NEAR - near.len();
+    let far = far.into_iter().take(MAX_FAR + unused);
     let near = near.into_iter().map(|host| (host, true));
     Ok(near.chain(far.map(|host| (host, false))).collect())
 }
 
-/// Returns the agents that take new flows in the order of a flow; those that are suspected only where all are.
+/// Returns the agents that take new flows, ranked by the hash of a flow.
+///
+/// Suspected agents are left out unless all agents are suspected.
 fn ranked(
     directory: &Directory,
     suspicion: &Suspicion,
@@ -88,14 +97,14 @@
     Ok(ranked.iter().map(|row| row.host).collect())
 }
 
-/// Tells whether only evacuations keep a flow from being taken.
+/// Returns whether a flow is not taken only because its service is evacuated.
 pub(crate) fn is_service_evacuated(directory: &Directory, flow: &FlowKey) -> bool {
     let service = directory.service_of(flow);
     service.is_some_and(|service| directory.is_evacuated_service(service))
 }
 
-/// Returns the first agent by hash of a flow's service, whether it takes new flows or not: it can find out who
-/// holds the flow.
+/// Returns the first agent by hash of a flow's service, even if it takes no new flows. It can look up
+/// the holder of the flow.
 pub(crate) fn first_agent(directory: &Directory, flow: &FlowKey) -> Option<Ipv4Addr> {
     let table = directory.table_of(flow)?;
     let ranked = placement::ranked_by_slots(table, flow.hash(), |_| true);
--- a/src/opaque/openers/mean_load.rs
+++ b/src/opaque/openers/mean_load.rs
@@ -1,72 +1,74 @@
-//! The mean load of a backend server over the last second, and over a longer time.
+//! The mean load of a backend server over a time span, as an exponentially weighted average.
 
-/// Over which time requests are averaged, in milliseconds: some service times of the users' slowest
-/// requests, and a few of the intervals in which balancers hear of each agent.
+/// The span of the mean that agents send with each message, in milliseconds: a few service times of the
+/// users' slowest requests, and a few of the intervals at which a balancer gets messages of each agent.
 pub(crate) const RECENT_SPAN_MS: f64 = 1_000.0;
-/// Over which time the load is averaged by which agents share flows out, in milliseconds: flows of the users'
-/// feeds live for some of these, and fewer requests than come in it would say little.
+/// The span of the mean by which agents balance flows among themselves, in milliseconds. Flows of the
+/// users' feeds live for a few of these spans, and the requests of a shorter one would say little.
 pub(crate) const STEADY_SPAN_MS: f64 = 10_000.0;
 
-/// The load that is told of a backend server which fails, in thousandths: far above any load that
-/// differs in what follows from it.
+/// The load that is sent for a failing backend server, in thousandths: far above any load of a working
+/// one that matters for a decision.
 pub(crate) const FAILING_LOAD_PERMILLE: u16 = 60_000;
 
-/// For how long a mean must have been kept to tell anything, in milliseconds: dozens of requests of a busy
-/// server, and those of its cold start are behind it.
-const MIN_KEPT_MS: u64 = 3_000;
+/// The age from which a mean is meaningful, in milliseconds: after dozens of requests of a busy backend
+/// server, and after those of its cold start.
+const MIN_AGE_MS: u64 = 3_000;
 
-/// An exponentially weighted mean of the requests at a backend server, over the time since it was begun.
+/// An exponentially weighted mean of the number of requests at a backend server.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct MeanLoad {
     span_ms: f64,
     sum: f64,
-    /// The part of the weights that the time since the beginning has, from 0 to 1.
+    /// The share of the weights that falls on the time since the first update, from 0 to 1.
     weight: f64,
     busy: u32,
-    since_ms: Option<u64>,
-    at_ms: u64,
+    started_ms: Option<u64>,
+    updated_ms: u64,
 }
 
 impl MeanLoad {
-    /// Begins a mean over a time.
+    /// Creates a mean over `span_ms` without updates.
     pub(crate) fn new(span_ms: f64) -> Self {
         Self {
             span_ms,
             sum: 0.0,
             weight: 0.0,
             busy: 0,
-            since_ms: None,
-            at_ms: 0,
+            started_ms: None,
+            updated_ms: 0,
         }
     }
 
-    /// Notes that `busy` requests are there from now on.
+    /// Sets the number of requests at the backend server from now on.
     pub(crate) fn update(&mut self, busy: u32, now_ms: u64) {
-        if self.since_ms.is_none() {
-            self.since_ms = Some(now_ms);
-            self.at_ms = now_ms;
+        if self.started_ms.is_none() {
+            self.started_ms = Some(now_ms);
+            self.updated_ms = now_ms;
         }
-        let passed_ms = now_ms.saturating_sub(self.at_ms) as f64;
-        let kept = (-passed_ms / self.span_ms).exp();
-        self.sum = self.sum * kept + f64::from(self.busy) * (1.0 - kept);
-        self.weight = self.weight * kept + (1.0 - kept);
+        let elapsed_ms = now_ms.saturating_sub(self.updated_ms) as f64;
+        let decay = (-elapsed_ms / self.span_ms).exp();
+        self.sum = self.sum * decay + f64::from(self.busy) * (1.0 - decay);
+        self.weight = self.weight * decay + (1.0 - decay);
         self.busy = busy;
-        self.at_ms = self.at_ms.max(now_ms);
+        self.updated_ms = self.updated_ms.max(now_ms);
     }
 
-    /// Returns the mean for each of `slots`, in thousandths, as if nothing had been there before it was begun.
+    /// Returns the mean load for each of `slots`, in thousandths.
+    ///
+    /// The time before the first update counts as idle.
     pub(crate) fn permille(&self, slots: u32) -> u16 {
         let permille = 1_000.0 * self.sum / f64::from(slots.max(1));
         permille.min(f64::from(FAILING_LOAD_PERMILLE)) as u16
     }
 
-    /// Returns the mean of the time since it was begun for each of `slots`, in thousandths, once that is long
-    /// enough to tell.
+    /// Returns the mean load since the first update for each of `slots`, in thousandths, or `None` if
+    /// that was too recent.
     ///
-    /// Without this, a process that started seconds ago would look idle beside the others.
+    /// By [`MeanLoad::permille`], a process that started seconds ago would look idle compared to others.
     pub(crate) fn permille_since_start(&self, slots: u32) -> Option<u16> {
-        let since_ms = self.since_ms?;
-        if self.at_ms < since_ms + MIN_KEPT_MS {
+        let started_ms = self.started_ms?;
+        if self.updated_ms < started_ms + MIN_AGE_MS {
             return None;
         }
         let permille = 1_000.0 * self.sum / self.weight / f64::from(slots.max(1));
--- a/src/opaque/openers/mod.rs
+++ b/src/opaque/openers/mod.rs
@@ -1,7 +1,8 @@
-//! What a decision about an opener reads: loads, outcomes, retries, and who is offered it next. The decision itself
-//! stands in `keeper::openers` for an agent and in `forwarder` for a balancer.
+//! The inputs of decisions about openers: candidates, loads, outcomes and retries.
 //!
-//! The rule that lives here: what is remembered here is a guess about others or a count of what passed, and never a reason to reset a flow. See docs/OPAQUE.md.
+//! An agent decides in `keeper::openers`, a balancer in `forwarder`. The state in this module is an
+//! estimate of other hosts or a count of past events, and never a reason to reset a flow. See
+//! docs/OPAQUE.md.
 
 pub(crate) mod candidates;
 pub(crate) mod cold_rate_limiter;
--- a/src/opaque/openers/opener_order.rs
+++ b/src/opaque/openers/opener_order.rs
@@ -1,4 +1,4 @@
-//! The order of agents for one flow: who is offered its opener next, and who likely holds it.
+//! The order of agents for one flow: which agent gets its opener next, and which ones likely hold it.
 
 use std::net::Ipv4Addr;
 
@@ -6,10 +6,10 @@
 use crate::opaque::keeper::Scene;
 use crate::opaque::packets::segment::FlowKey;
 
-/// Returns the agent after `own` in the order of a flow, if one is left that was not offered it
-/// and fewer than `max_hops` were.
+/// Returns the agent after `own` in the order of a flow, or `None` after `max_hops` agents or after all.
 ///
-/// All agents with the same table walk the same circle, so that no list of those passed must travel.
+/// All agents with the same table follow the same circular order, so that the opener needs no list of
+/// the agents that have passed it on.
 pub(crate) fn next_host(
     scene: &Scene<'_>,
     own: Ipv4Addr,
@@ -17,10 +17,10 @@
     hops: u8,
     max_hops: usize,
 ) -> Option<Ipv4Addr> {
-    next_of(scene, own, key, hops, max_hops, |_| true)
+    next_eligible(scene, own, key, hops, max_hops, |_| true)
 }
 
-/// The same among the agents whose backend servers are not published as cold.
+/// Like [`next_host`], among the agents whose backend servers are not published as cold.
 pub(crate) fn next_warm_host(
     scene: &Scene<'_>,
     own: Ipv4Addr,
@@ -29,21 +29,21 @@
     max_hops: usize,
 ) -> Option<Ipv4Addr> {
     let is_warm = |host| !scene.directory.is_cold(host, scene.now_ms);
-    next_of(scene, own, key, hops, max_hops, is_warm)
+    next_eligible(scene, own, key, hops, max_hops, is_warm)
 }
 
-fn next_of(
+fn next_eligible(
     scene: &Scene<'_>,
     own: Ipv4Addr,
     key: &FlowKey,
     hops: u8,
     max_hops: usize,
-    may_be: impl Fn(Ipv4Addr) -> bool,
+    is_eligible: impl Fn(Ipv4Addr) -> bool,
 ) -> Option<Ipv4Addr> {
     let table = scene.directory.table_of(key)?;
     let order = placement::ranked(table, key.hash(), |row| {
         let trusted = !scene.suspicion.is_suspected(row.host, scene.now_ms);
-        row.host == own || (row.weight > 0 && trusted && may_be(row.host))
+        row.host == own || (row.weight > 0 && trusted && is_eligible(row.host))
     });
     let others = order.iter().filter(|row| row.host != own).count();
     if usize::from(hops) >= others.min(max_hops) {
@@ -54,8 +54,9 @@
     Some(order[next].host)
 }
 
-/// Returns the agents but `own` that are first in the order of a flow, at most `count`: one of them likely
-/// holds it, since openers are placed and passed on along that order.
+/// Returns the first `count` agents other than `own` in the order of a flow.
+///
+/// One of them likely holds the flow, since openers are placed and passed on in that order.
 pub(crate) fn likely_holders(
     scene: &Scene<'_>,
     own: Ipv4Addr,
--- a/src/opaque/openers/retry_tracker.rs
+++ b/src/opaque/openers/retry_tracker.rs
@@ -1,101 +1,103 @@
-//! Which openers are retries: what a balancer heard of attempts that failed.
+//! Recognition of openers that are retries, by the failed attempts that agents report to a balancer.
 //!
-//! An opener does not show how long its caller has waited in earlier attempts. While there is not room for
-//! all, a retry that nobody can serve in time any more would take the place of a fresh one: after a loss of power
-//! 82.6 % of the openers of an overloaded service are in time with this and 76.6 % without, in the model of
-//! `tests/opaque`. See docs/OPAQUE.md, "Where a flow opens".
+//! An opener does not show how long its caller has waited in earlier attempts. Under overload, a retry
+//! that can no longer be served in time would take the place of a fresh opener. After a loss of power,
+//! 82.6 % of the openers of an overloaded service are in time with this tracker and 76.6 % without it,
+//! in the model of `tests/opaque`. See docs/OPAQUE.md, "Where a flow opens".
 
 use std::net::Ipv4Addr;
 
 use crate::opaque::flows::flow_map::FlowMap;
 use crate::opaque::packets::segment::FlowKey;
 
-/// How soon after a failed attempt its caller's next opener counts as the retry, in milliseconds. Callers
-/// retry a round trip after their opener was refused, and 30 to 110 ms after their flow was reset.
-const RETRY_WITHIN_MS: u64 = 125;
-/// How long the wait of an opener is remembered for its copies, in milliseconds: callers send the last one
+/// The time within which the next opener of a caller counts as the retry of its failed attempt, in
+/// milliseconds. Callers retry one round trip after their opener was refused, and 30 to 110 ms after
+/// their flow was reset.
+const RETRY_TIMEOUT_MS: u64 = 125;
+/// How long the wait of an opener is kept for its copies, in milliseconds. Callers send the last copy
 /// after 600 ms, and give up after 1,400 ms.
-const COPIES_MS: u64 = 1_400;
-/// How many failed attempts, and how many openers, are remembered: some hundred milliseconds of what one
-/// balancer can forward at all.
-const MAX_REMEMBERED: usize = 4_096;
+const COPIES_TIMEOUT_MS: u64 = 1_400;
+/// The most failed attempts, and the most openers, that are kept: a few hundred milliseconds of the
+/// traffic that one balancer can forward.
+const MAX_ENTRIES: usize = 4_096;
 
-/// An attempt that failed, whose caller may try again.
+/// A failed attempt whose caller may retry.
 #[derive(Debug, Clone, Copy)]
-struct Failed {
+struct FailedAttempt {
     caller: Ipv4Addr,
     waited_ms: u64,
-    told_ms: u64,
+    reported_ms: u64,
 }
 
-/// The wait before the first copy of an opener.
+/// How long the caller of an opener had waited before the first copy.
 #[derive(Debug, Clone, Copy)]
-struct Wait {
+struct KnownWait {
     waited_ms: u64,
     seen_ms: u64,
 }
 
-/// Attempts that failed a moment ago, in the order in which they did, and the openers taken for their retries.
+/// The recent failed attempts, in order of time, and the openers that count as their retries.
 #[derive(Debug)]
 pub(crate) struct RetryTracker {
-    failed: Vec<Failed>,
-    waits: FlowMap<Wait>,
+    failed_attempts: Vec<FailedAttempt>,
+    waits: FlowMap<KnownWait>,
 }
 
 impl RetryTracker {
     pub(crate) fn new() -> Self {
         Self {
-            failed: Vec::new(),
-            waits: FlowMap::new(MAX_REMEMBERED),
+            failed_attempts: Vec::new(),
+            waits: FlowMap::new(MAX_ENTRIES),
         }
     }
 
-    /// Notes that an attempt of a caller failed after it had waited for so long in all.
+    /// Records that an attempt of a caller failed after it had waited for `waited_ms` in all its attempts.
     pub(crate) fn record_failure(&mut self, caller: Ipv4Addr, waited_ms: u64, now_ms: u64) {
-        self.failed.retain(|failed| failed.is_awaited(now_ms));
-        if self.failed.len() < MAX_REMEMBERED {
-            self.failed.push(Failed {
+        self.failed_attempts.retain(|failed| failed.awaits_retry(now_ms));
+        if self.failed_attempts.len() < MAX_ENTRIES {
+            self.failed_attempts.push(FailedAttempt {
                 caller,
                 waited_ms,
-                told_ms: now_ms,
+                reported_ms: now_ms,
             });
         }
     }
 
-    /// Returns for how long the caller of an opener had waited before its first copy, as far as is known.
+    /// Returns how long the caller of an opener had waited before its first copy, as far as known, in
+    /// milliseconds.
     ///
-    /// Of several attempts of one address the oldest is taken first: which opener is whose retry can't be
-    /// told there, but as many are retries as have failed.
+    /// If several attempts from one address failed, the oldest is used first. Which opener retries which
+    /// attempt is unknown then, but as many openers are retries as attempts have failed.
     pub(crate) fn waited_ms(&mut self, flow: &FlowKey, is_copy: bool, now_ms: u64) -> u64 {
         if is_copy || self.waits.get(flow).is_some() {
             return self.waits.get(flow).map_or(0, |wait| wait.waited_ms);
         }
         let caller = *flow.caller.ip();
-        let is_his = |failed: &Failed| failed.caller == caller && failed.is_awaited(now_ms);
-        let Some(index) = self.failed.iter().position(is_his) else {
+        let may_retry = |failed: &FailedAttempt| failed.caller == caller && failed.awaits_retry(now_ms);
+        let Some(index) = self.failed_attempts.iter().position(may_retry) else {
             return 0;
         };
-        let failed = self.failed.remove(index);
-        let waited_ms = failed.waited_ms + now_ms.saturating_sub(failed.told_ms);
-        let wait = Wait {
+        let failed = self.failed_attempts.remove(index);
+        let waited_ms = failed.waited_ms + now_ms.saturating_sub(failed.reported_ms);
+        let wait = KnownWait {
             waited_ms,
             seen_ms: now_ms,
         };
-        // Without room for it the copies count as fresh, as they would without this.
+        // If the map is full, the copies count as fresh openers.
         let _ = self.waits.insert(*flow, wait);
         waited_ms
     }
 
-    /// Forgets openers whose callers have given up.
+    /// Removes openers whose callers have given up.
     pub(crate) fn expire(&mut self, now_ms: u64) {
         self.waits
-            .retain(|_, wait| now_ms < wait.seen_ms + COPIES_MS);
+            .retain(|_, wait| now_ms < wait.seen_ms + COPIES_TIMEOUT_MS);
     }
 }
 
-impl Failed {
-    fn is_awaited(&self, now_ms: u64) -> bool {
-        // An opener that was kept is judged at the time at which it came.
-        self.told_ms <= now_ms && now_ms <= self.told_ms + RETRY_WITHIN_MS
+impl FailedAttempt {
+    fn awaits_retry(&self, now_ms: u64) -> bool {
+        // For an opener that the balancer kept, `now_ms` is its time of arrival.
+        self.reported_ms <= now_ms && now_ms <= self.reported_ms + RETRY_TIMEOUT_MS
     }
 }
--- a/src/opaque/packets/message.rs
+++ b/src/opaque/packets/message.rs
@@ -1,8 +1,8 @@
-//! Datagrams between balancers and agents: a caller's packet or a flow's name, and a trailer.
+//! Datagrams between balancers and agents: a caller's packet or a flow key, followed by a trailer.
 //!
-//! The trailer stands behind the packet, so that the buffer into which the packet was received is
-//! sent as it is. It is not authenticated: a forged one costs a detour, since only a backend server
-//! decides whether it holds a flow, and what it takes is under the packet's own checksum.
+//! The trailer follows the packet, so that the buffer into which the packet was received can be sent
+//! without a copy. It is not authenticated. A forged one costs a detour at most: only the backend
+//! server decides whether it holds a flow, and the packet's own checksum protects what it accepts.
 
 use std::net::Ipv4Addr;
 
@@ -12,103 +12,114 @@
 use crate::process::udp::MAX_TRAILER_BYTES;
 
 const VERSION: u8 = 1;
-/// The bytes that [`Message::append`] adds.
+/// The length of the trailer that [`Message::append`] adds.
 pub(crate) const TRAILER_BYTES: usize = 30;
-// What does not fit the buffer of a receiver would be cut off.
+// A longer trailer would be cut off by the receiver's buffer.
 const _: () = assert!(TRAILER_BYTES <= MAX_TRAILER_BYTES);
 
-/// What a datagram between two processes asks or says.
+/// The kind of a datagram between two processes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
 pub enum MessageKind {
-    /// A caller's packet from a balancer, or from an agent that knows who holds its flow.
+    /// A caller's packet, from a balancer or from an agent that knows the holder of its flow.
     Deliver = 1,
-    /// A caller's opener from an agent that does not take it.
+    /// A caller's opener, from an agent that does not take it.
     HandOn = 2,
-    /// An agent takes or holds this flow: send its packets there. Behind the flow may stand the load of the sender's
-    /// backend server over ten seconds, in thousandths of a slot.
+    /// An agent takes or holds this flow, and gets its packets from now on.
+    ///
+    /// The flow key may be followed by the load of the sender's backend server over ten seconds, in
+    /// thousandths of a slot, and that by the time a new flow would wait at the sender, in
+    /// milliseconds.
     Holds = 3,
-    /// A caller's packet of a flow that the sender does not know: deliver it if it is held there.
+    /// A caller's packet of a flow that the sender does not know, to be delivered if the flow is held
+    /// at the receiver.
     Find = 4,
-    /// The answer to [`MessageKind::Find`]: the flow is held here.
+    /// The answer to [`MessageKind::Find`] if the flow is held at the sender.
     Found = 5,
-    /// The answer to [`MessageKind::Find`]: the flow is not held here, for certain.
+    /// The answer to [`MessageKind::Find`] if the flow is certainly not held at the sender.
     Absent = 6,
-    /// Asks for the receiver's revisions.
+    /// A heartbeat that asks for the receiver's revisions.
     Beat = 7,
     /// The answer to [`MessageKind::Beat`].
     BeatReply = 8,
-    /// The sender's backend server runs and is not published: ask there too who holds a flow.
+    /// The sender's backend server runs but is not published. Lookups must include the sender.
     Unlisted = 9,
-    /// An attempt of this flow's caller has failed: its next opener is a retry.
+    /// An attempt of this flow's caller has failed, so that its next opener is a retry.
     AttemptFailed = 10,
-    /// The sender runs and holds these revisions: for a balancer that may have just started.
+    /// The sender runs and holds these revisions. Sent to balancers that may have just started.
     Greeting = 11,
-    /// The sender could take this flow and has more to do than others: offer it to another agent. Behind the flow
-    /// stands a load as with [`MessageKind::Holds`]. Behind that may stand for how long a new flow would wait at the
-    /// sender, in milliseconds, as may behind [`MessageKind::Holds`].
+    /// The sender declines this opener for another agent to take.
+    ///
+    /// The flow key is followed by a load, and may be followed by a wait, as in [`MessageKind::Holds`].
     Declined = 12,
-    /// A caller's opener from a balancer, which offers it elsewhere if the receiver declines.
+    /// A caller's opener, from a balancer that offers it to another agent if the receiver declines.
     Offer = 13,
 }
 
 /// The trailer of a datagram between two processes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Message {
-    /// What it asks or says.
+    /// The kind of the message.
     pub kind: MessageKind,
-    /// How many agents have passed an opener on; 0 for [`MessageKind::Offer`], where the byte carries
-    /// [`Message::max_wait_ms`].
+    /// The number of agents that have passed an opener on; 0 for [`MessageKind::Offer`], where the byte
+    /// carries [`Message::max_wait_ms`].
     pub hops: u8,
-    /// Whether the flow is known to have opened at the host that a [`MessageKind::Holds`] names, or at the receiver of a
-    /// [`MessageKind::Deliver`]: its backend server showed that it held it. Then no other one can hold it.
+    /// Whether the flow is known to have opened at [`Message::host`] of a [`MessageKind::Holds`], or at
+    /// the receiver of a [`MessageKind::Deliver`].
+    ///
+    /// The backend server there proved that it held the flow, so that no other one can hold it.
     pub has_opened: bool,
-    /// Of [`MessageKind::Offer`], the longest wait for which the receiver takes it, in milliseconds; rounded down to
-    /// whole [`OFFER_WAIT_UNIT_MS`], of which 255 fit.
+    /// For [`MessageKind::Offer`], the longest expected wait at which the receiver takes the opener, in
+    /// milliseconds; rounded down to whole [`MAX_WAIT_UNIT_MS`], of which 255 fit.
     pub max_wait_ms: u16,
-    /// The balancer through which a packet came in; of [`MessageKind::Holds`], who holds the flow.
+    /// The balancer that received the packet from its caller; for [`MessageKind::Holds`], the holder of
+    /// the flow.
     pub host: Ipv4Addr,
     /// The sender's revisions.
     pub digest: Digest,
-    /// How long ago the sender's revisions were known to be the newest, in milliseconds;
-    /// [`UNKNOWN_AGE_MS`] while it can't find out.
+    /// The time since the sender's revisions were known to be the newest, in milliseconds;
+    /// [`UNKNOWN_AGE_MS`] while the sender can't reach the configuration service.
     pub age_ms: u32,
-    /// For how long the sender does not yet take a backend server that is not published for gone, in
-    /// milliseconds, rounded up to the next [`SETTLE_UNIT_MS`].
+    /// The time until the sender is settled, in milliseconds, rounded up to the next [`SETTLE_UNIT_MS`].
+    ///
+    /// Until then it does not assume that a backend server which is not published is gone.
     pub settle_remaining_ms: u16,
-    /// The requests for each slot of the sender's backend server, over the last second, in
-    /// thousandths; [`UNKNOWN_LOAD_PERMILLE`] from a process without one.
+    /// The load of the sender's backend server over the last second, as requests for each slot in
+    /// thousandths; [`UNKNOWN_LOAD_PERMILLE`] from a process without a backend server.
     ///
-    /// An opener from a balancer tells the mean of its service's backend servers over the last ten seconds here,
-    /// where it may be declined.
+    /// For an opener from a balancer that may be declined, the mean load of the service's backend
+    /// servers over the last ten seconds.
     pub load_permille: u16,
-    /// Of an opener and of [`MessageKind::AttemptFailed`], for how long the caller has waited in attempts that
-    /// failed, as far as known, in milliseconds; rounded down to whole [`WAIT_UNIT_MS`], of which 15 fit.
+    /// For an opener and for [`MessageKind::AttemptFailed`], how long the caller has waited in failed
+    /// attempts, as far as known, in milliseconds; rounded down to whole [`WAITED_UNIT_MS`], of which 15
+    /// fit.
     pub waited_ms: u16,
 }
 
-/// The age that says that the sender has lost touch with the configuration service.
+/// The age sent by a process that has lost its connection to the configuration service.
 pub const UNKNOWN_AGE_MS: u32 = u32::MAX;
 
-/// The load of a process that has no backend server beside it.
+/// The load sent by a process without a backend server.
 pub const UNKNOWN_LOAD_PERMILLE: u16 = u16::MAX;
 
-/// The unit in which [`Message::settle_remaining_ms`] travels, in milliseconds.
+/// The unit of [`Message::settle_remaining_ms`] in the trailer, in milliseconds.
 pub(crate) const SETTLE_UNIT_MS: u16 = 20;
 
-/// The unit in which [`Message::max_wait_ms`] travels, in milliseconds: 255 of them are more than any latency
-/// objective for which openers are offered.
-const OFFER_WAIT_UNIT_MS: u16 = 4;
-
-/// The unit in which [`Message::waited_ms`] travels, in milliseconds: half of the first step between the ages
-/// that an agent tells apart.
-const WAIT_UNIT_MS: u16 = 100;
-/// The bits of the byte of the kind that hold it; the wait stands above them, so that a process which does not
-/// know it passes such a message over, and its sender's caller sends the opener again.
+/// The unit of [`Message::max_wait_ms`] in the trailer, in milliseconds. 255 units are more than any
+/// latency objective for which openers are offered.
+const MAX_WAIT_UNIT_MS: u16 = 4;
+
+/// The unit of [`Message::waited_ms`] in the trailer, in milliseconds: half of the first step between
+/// the opener ages that an agent distinguishes.
+const WAITED_UNIT_MS: u16 = 100;
+/// The number of low bits of the kind byte that hold the kind. The high bits hold [`Message::waited_ms`].
+///
+/// A process of a version without this field ignores messages that have it, and the caller sends its
+/// opener again.
 const KIND_BITS: u8 = 4;
-const MAX_WAIT_UNITS: u16 = 0x0f;
-/// The bit of the byte of the hops that tells [`Message::has_opened`]; a process that does not know it takes such a
-/// message for one without.
+const MAX_WAITED_UNITS: u16 = 0x0f;
+/// The bit of the hops byte that holds [`Message::has_opened`]. A process of a version without this
+/// field reads it as unset.
 const OPENED_BIT: u8 = 0x80;
 
 impl Message {
@@ -117,25 +128,25 @@
         u8::try_from(units).unwrap_or(u8::MAX)
     }
 
-    fn hops_or_wait(&self) -> u8 {
+    fn hops_or_max_wait(&self) -> u8 {
         if self.kind != MessageKind::Offer {
-            return self.hops_and_opened();
+            return self.hops_with_opened_bit();
         }
-        let units = self.max_wait_ms / OFFER_WAIT_UNIT_MS;
+        let units = self.max_wait_ms / MAX_WAIT_UNIT_MS;
         u8::try_from(units).unwrap_or(u8::MAX)
     }
 
-    /// Returns the hops, and [`Message::has_opened`] above them.
-    fn hops_and_opened(&self) -> u8 {
+    /// Returns the hops byte with [`Message::has_opened`] in its high bit.
+    fn hops_with_opened_bit(&self) -> u8 {
         self.hops | if self.has_opened { OPENED_BIT } else { 0 }
     }
 
-    fn kind_and_wait(&self) -> u8 {
-        let units = (self.waited_ms / WAIT_UNIT_MS).min(MAX_WAIT_UNITS);
+    fn kind_with_waited(&self) -> u8 {
+        let units = (self.waited_ms / WAITED_UNIT_MS).min(MAX_WAITED_UNITS);
         (units as u8) << KIND_BITS | self.kind as u8
     }
 
-    /// Makes a message without a host and without load.
+    /// Creates a message without a host and without a load.
     pub fn new(kind: MessageKind) -> Self {
         Self {
             kind,
@@ -155,8 +166,8 @@
     pub fn append(&self, payload: &mut Vec<u8>) {
         payload.extend_from_slice(&[
             VERSION,
-            self.kind_and_wait(),
-            self.hops_or_wait(),
+            self.kind_with_waited(),
+            self.hops_or_max_wait(),
             self.settle_units(),
         ]);
         payload.extend_from_slice(&self.host.octets());
@@ -170,41 +181,41 @@
     ///
     /// # Errors
     ///
-    /// Returns code 4009 for a datagram that no process of this version sent.
+    /// Returns code 4009 if the datagram is not a message of this version.
     pub fn split(datagram: &[u8]) -> Result<(&[u8], Message)> {
         let malformed = || Error::new(Code::MessageMalformed, format!("{} bytes", datagram.len()));
         let at = datagram.len().checked_sub(TRAILER_BYTES);
         let (payload, trailer) = datagram.split_at(at.ok_or_else(malformed)?);
-        let kind = kind_of(trailer[1] & ((1 << KIND_BITS) - 1)).filter(|_| trailer[0] == VERSION);
+        let kind = decode_kind(trailer[1] & ((1 << KIND_BITS) - 1)).filter(|_| trailer[0] == VERSION);
         let kind = kind.ok_or_else(malformed)?;
-        let (hops, has_opened, wait_units) = match kind {
+        let (hops, has_opened, max_wait_units) = match kind {
             MessageKind::Offer => (0, false, trailer[2]),
             _ => (trailer[2] & !OPENED_BIT, trailer[2] & OPENED_BIT != 0, 0),
         };
-        let word = |at: usize| u64::from_be_bytes(trailer[at..at + 8].try_into().unwrap_or([0; 8]));
-        let half = |at: usize| u16::from_be_bytes([trailer[at], trailer[at + 1]]);
+        let u64_at = |at: usize| u64::from_be_bytes(trailer[at..at + 8].try_into().unwrap_or([0; 8]));
+        let u16_at = |at: usize| u16::from_be_bytes([trailer[at], trailer[at + 1]]);
         Ok((
             payload,
             Message {
                 kind,
                 hops,
                 has_opened,
-                max_wait_ms: u16::from(wait_units) * OFFER_WAIT_UNIT_MS,
+                max_wait_ms: u16::from(max_wait_units) * MAX_WAIT_UNIT_MS,
                 host: Ipv4Addr::new(trailer[4], trailer[5], trailer[6], trailer[7]),
                 digest: Digest {
-                    highest: word(8).into(),
-                    hash: word(16),
+                    highest: u64_at(8).into(),
+                    hash: u64_at(16),
                 },
-                age_ms: (u32::from(half(24)) << 16) | u32::from(half(26)),
+                age_ms: (u32::from(u16_at(24)) << 16) | u32::from(u16_at(26)),
                 settle_remaining_ms: u16::from(trailer[3]) * SETTLE_UNIT_MS,
-                load_permille: half(28),
-                waited_ms: u16::from(trailer[1] >> KIND_BITS) * WAIT_UNIT_MS,
+                load_permille: u16_at(28),
+                waited_ms: u16::from(trailer[1] >> KIND_BITS) * WAITED_UNIT_MS,
             },
         ))
     }
 }
 
-fn kind_of(byte: u8) -> Option<MessageKind> {
+fn decode_kind(byte: u8) -> Option<MessageKind> {
     let kinds = [
         MessageKind::Deliver,
         MessageKind::HandOn,
--- a/src/opaque/packets/mod.rs
+++ b/src/opaque/packets/mod.rs
@@ -1,7 +1,6 @@
-//! What travels: packets of callers and backend servers as their headers tell, messages between processes, and
-//! what a decision asks to be sent.
+//! Packet headers, messages between processes, and the actions that send them.
 //!
-//! The rule that lives here: nothing here decides, and nothing else of `opaque` is used. See docs/OPAQUE.md.
+//! This module makes no decisions and uses no other module of `opaque`. See docs/OPAQUE.md.
 
 pub(crate) mod action;
 pub(crate) mod message;
--- a/src/opaque/packets/segment.rs
+++ b/src/opaque/packets/segment.rs
@@ -1,4 +1,4 @@
-//! What the product sees of a packet whose flow only its two ends can read.
+//! The packet headers of opaque flows, whose payload only their two ends can read.
 
 use std::fmt;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -6,20 +6,20 @@
 use crate::config::hash;
 use crate::error::Result;
 
-/// The bytes of a [`FlowKey`] on the wire.
+/// The length of a [`FlowKey`] on the wire.
 pub(crate) const FLOW_KEY_BYTES: usize = 12;
 
-/// Identifies a flow: the caller's end and the service address that it calls.
+/// The key of a flow: the caller's address and the service address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FlowKey {
-    /// The address and port of the caller's end.
+    /// The address and port of the caller.
     pub caller: SocketAddrV4,
-    /// The address and port that the caller calls.
+    /// The service address and port that the caller calls.
     pub called: SocketAddrV4,
 }
 
 impl FlowKey {
-    /// Returns the hash by which all processes order candidates for this flow.
+    /// Returns the hash by which all processes rank the candidates for this flow.
     pub fn hash(&self) -> u64 {
         hash::bytes_hash(&self.to_bytes())
     }
@@ -52,40 +52,42 @@
     }
 }
 
-/// One packet of an opaque flow, as far as its header tells.
+/// The decoded header of one packet of an opaque flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Segment {
-    /// Who sent it.
+    /// The sender.
     pub source: SocketAddrV4,
-    /// For whom it is.
+    /// The receiver.
     pub destination: SocketAddrV4,
     /// Whether it asks to open a flow.
     pub opens: bool,
-    /// Whether a backend server accepts a flow with it.
+    /// Whether it is a backend server's acceptance of a flow.
     pub accepts: bool,
-    /// Whether its sender sends nothing after it.
+    /// Whether it is the last packet of its sender.
     pub ends: bool,
-    /// Whether it breaks the flow off.
+    /// Whether it resets the flow.
     pub resets: bool,
-    /// Whether the backend server handed it back because it does not hold the flow.
+    /// Whether the backend server returned it because it does not hold the flow.
     pub returned: bool,
-    /// The number of its first byte.
+    /// The sequence number of its first byte.
     pub sequence: u32,
-    /// The next number that its sender expects; for an opener, which copy of it this is.
+    /// The next sequence number that its sender expects; for an opener, the number of this copy.
     pub acknowledgement: u32,
-    /// How many bytes of data it carries.
+    /// The number of bytes of data that it carries.
     pub payload_bytes: u16,
-    /// The mark that this process wrote before it handed the packet to its backend server.
+    /// The mark that this process set before it sent the packet to its backend server.
     pub mark: u32,
 }
 
 impl Segment {
-    /// Returns the number after its last byte.
+    /// Returns the sequence number after its last byte.
     pub(crate) fn end_sequence(&self) -> u32 {
         self.sequence.wrapping_add(self.payload_bytes.into())
     }
 
-    /// Tells whether it ends its sender's data without bringing any: who still waits for an answer ends nothing.
+    /// Returns whether it ends its sender's data and carries none.
+    ///
+    /// A caller that still waits for an answer does not send such a packet.
     pub(crate) fn ends_without_data(&self) -> bool {
         self.ends && self.payload_bytes == 0
     }
@@ -107,19 +109,19 @@
     }
 }
 
-/// How packets look on the wire; the product decides, this only reads and writes.
+/// The packet format of a platform, as functions that read and write packets.
 #[derive(Debug, Clone, Copy)]
 pub struct WireFormat {
     /// Reads the header of a packet.
     pub decode: fn(&[u8]) -> Result<Segment>,
-    /// Writes a mark into a packet, which a backend server that returns it keeps.
+    /// Writes a mark into a packet. A backend server that returns the packet keeps the mark.
     pub set_mark: fn(&mut [u8], u32),
-    /// Takes out what a returned packet gained on its way, so that it is again as it was sent.
+    /// Restores a returned packet to the bytes that its caller sent.
     pub restore: fn(&mut [u8]),
-    /// Reads the id of the request that begins in a packet, if it shows; for log lines only.
+    /// Reads the id of the request that begins in a packet, if readable. Used only for log lines.
     pub request_id: fn(&[u8]) -> Option<&str>,
-    /// Reads the status of the answer that begins in a packet, if it shows; for log lines only.
+    /// Reads the status of the answer that begins in a packet, if readable. Used only for log lines.
     pub status: fn(&[u8]) -> Option<u16>,
-    /// Makes the packet that ends a flow towards its caller.
+    /// Creates the packet that resets a flow towards its caller.
     pub reset: fn(&FlowKey, u32) -> Vec<u8>,
 }
