--- a/src/opaque/packets/segment.rs
+++ b/src/opaque/packets/segment.rs
@@ -120,7 +120,7 @@
     pub restore: fn(&mut [u8]),
     /// Reads the id of the request that begins in a packet, if readable. Used only for log lines.
     pub request_id: fn(&[u8]) -> Option<&str>,
-    /// Reads the status of the answer that begins in a packet, if readable. Used only for log lines.
+    /// Reads the status of the answer that begins in a packet, if readable.
     pub status: fn(&[u8]) -> Option<u16>,
     /// Creates the packet that resets a flow towards its caller.
     pub reset: fn(&FlowKey, u32) -> Vec<u8>,
--- a/tests/opaque/crest.rs
+++ b/tests/opaque/crest.rs
@@ -1,28 +1,28 @@
-//! Loads of callers that have time for one attempt, replayed in model time within `bounds.txt`.
+//! Load peaks on a route with a deadline, replayed in the queue model within `bounds.txt`.
 
 use crate::message_bounds::bound;
 use crate::queue_model::Model;
 use crate::queue_plan::{Outcome, Plan, Policy};
 
-/// A site whose slots are nearly all busy for six seconds: small servers, feeds of some requests on each flow.
-fn crest(load: f64, tells_deadline: bool) -> Plan {
-    const CALM: f64 = 0.6;
+/// Returns a plan with a load peak of six seconds, of small servers and of flows with a few requests each.
+fn peak_plan(load: f64, tells_deadline: bool) -> Plan {
+    const NORMAL_LOAD: f64 = 0.6;
     Plan {
         balancers: 19,
         flow: (3.0, 700.0),
         aim_ms: 300,
         timeout_ms: 1_500,
-        burst: Some((4_000, 10_000, load / CALM)),
+        burst: Some((4_000, 10_000, load / NORMAL_LOAD)),
         for_ms: 12_000,
         tells_deadline,
-        ..Plan::new(42, 2, 30.0, CALM)
+        ..Plan::new(42, 2, 30.0, NORMAL_LOAD)
     }
 }
 
-/// Plays a load without and with deadlines known and prints a row for each.
+/// Runs a load peak without and with known deadlines, and prints a row for each.
 fn compare(load: f64) -> [Outcome; 2] {
     [false, true].map(|tells_deadline| {
-        let outcome = Model::run(&crest(load, tells_deadline), Policy::Product);
+        let outcome = Model::run(&peak_plan(load, tells_deadline), Policy::Product);
         println!(
             "| {load} | {tells_deadline} | {} | {:.3} | {} | {} | {} ms | {} ms |",
             outcome.asked,
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_crest_is_served_in_time() {
+fn a_load_peak_is_served_in_time() {
     for load in [0.9, 1.0] {
         let [_, known] = compare(load);
         assert!(known.in_time_share() >= bound("opaque_in_time_at_a_crest"));
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn where_more_is_asked_for_than_can_be_served_the_slowest_answers_come_sooner() {
+fn under_overload_the_slowest_answers_come_sooner_with_deadlines() {
     let [unknown, known] = compare(1.1);
     assert!(known.in_time_share() >= unknown.in_time_share());
     let least_ms = bound("opaque_p99_sooner_in_a_rush_ms") as u64;
@@ -57,9 +57,9 @@
 }
 
 #[test]
-fn what_is_served_in_time_stays_as_more_is_asked_for() {
+fn the_number_served_in_time_stays_as_the_overload_grows() {
     let in_time = [2.0, 4.0, 8.0].map(|load| {
-        let outcome = Model::run(&crest(load, true), Policy::Product);
+        let outcome = Model::run(&peak_plan(load, true), Policy::Product);
         outcome.in_time as f64
     });
     let least = bound("opaque_in_time_kept_in_a_rush");
--- a/tests/opaque/flow_search.rs
+++ b/tests/opaque/flow_search.rs
@@ -1,4 +1,4 @@
-//! What a balancer does with packets while there is no configuration.
+//! The search for the holder of a flow by a balancer without a configuration.
 
 use std::net::Ipv4Addr;
 
@@ -9,7 +9,7 @@
     directory, flow, forwarder, host, host_of, hosts_told, opener, request, resets,
 };
 
-/// Returns a search that this many agents greeted.
+/// Returns a search that `agents` agents have greeted.
 fn search(agents: u16, now_ms: u64) -> FlowSearch {
     let mut search = FlowSearch::new();
     for index in 1..=agents {
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn on_a_larger_site_each_copy_is_shown_to_twice_as_many_and_all_are_shown_one() {
+fn on_a_larger_site_each_copy_is_shown_to_twice_as_many_agents_until_all_have_seen_one() {
     for (agents, copies) in [(54, 3), (250, 5), (1_000, 7), (6_000, 27)] {
         let (mut balancer, mut search) = (forwarder(), search(agents, 1_000));
         let mut shown = Vec::new();
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_flow_is_shown_to_its_holder_with_its_first_packet_at_any_size() {
+fn the_first_packet_of_a_flow_is_shown_to_its_holder_at_any_size() {
     for agents in [30, 300, 1_000, 6_000] {
         let directory = directory(agents);
         let mut search = search(agents, 1_000);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn balancers_learn_of_all_agents_from_one_seed_at_any_size() {
+fn balancers_learn_all_agents_from_one_seed_at_any_size() {
     for agents in [30, 300, 1_000, 6_000] {
         let mut other = FlowSearch::new();
         for now_ms in (0..9_800).step_by(200) {
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn once_an_agent_holds_a_flow_its_packets_go_there_alone() {
+fn once_the_holder_is_known_packets_go_only_there() {
     let (mut balancer, mut search) = (forwarder(), search(5, 1_000));
     forward(&mut balancer, &mut search, 1);
     balancer.record_holder(flow(1), host(4), 1_010);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn nothing_opens_and_nothing_is_refused_without_a_configuration() {
+fn no_flow_is_opened_or_refused_without_a_configuration() {
     let mut search = search(5, 1_000);
     let opened = forwarder().handle_without_routes(&mut search, &opener(&flow(1), 2), 1_000);
     assert_eq!(opened.map_err(|error| error.code), Err(Code::RouteUnknown));
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn agents_that_fall_silent_are_forgotten() {
+fn silent_agents_expire() {
     for (now_ms, known) in [(2_999, 3), (3_000, 0)] {
         let mut search = search(3, 1_000);
         assert_eq!(
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_list_of_agents_is_taken_by_another_balancer_and_bounded() {
+fn another_balancer_accepts_a_list_of_agents_up_to_its_bounds() {
     let list = search(16, 1_000).agent_list(1_000);
     let mut other = FlowSearch::new();
     other.record_agents(&list, 1_000);
@@ -121,25 +121,29 @@
         .flat_map(|index| Ipv4Addr::from(index).octets())
         .collect();
     other.record_agents(&long, 1_000);
-    assert_eq!(other.agent_count(), 16 + 256, "one message tells of so many");
+    assert_eq!(
+        other.agent_count(),
+        16 + 256,
+        "one message lists at most 256"
+    );
     for part in 1..300 {
-        let told = (0..256_u32).flat_map(|index| Ipv4Addr::from(part << 8 | index).octets());
-        other.record_agents(&told.collect::<Vec<u8>>(), 1_000);
+        let listed = (0..256_u32).flat_map(|index| Ipv4Addr::from(part << 8 | index).octets());
+        other.record_agents(&listed.collect::<Vec<u8>>(), 1_000);
     }
     assert_eq!(other.agent_count(), 65_536);
-    // Bytes that are no whole address are passed over.
+    // Trailing bytes that are no whole address are ignored.
     let mut odd = FlowSearch::new();
     odd.record_agents(&[10, 0, 0, 1, 10, 0], 1_000);
     assert_eq!(odd.next_agents(&flow(1), 1_000), [host(1)]);
 }
 
 #[test]
-fn balancers_tell_of_agents_that_greeted_them_and_not_of_hearsay() {
+fn balancers_list_agents_that_greeted_them_and_not_agents_from_lists() {
     let mut seed = search(2, 1_000);
     let mut other = FlowSearch::new();
     other.record_agents(&seed.agent_list(1_000), 1_000);
     assert!(other.agent_list(1_000).is_empty());
-    // What comes back as hearsay does not keep a silent agent on the list.
+    // A list that comes back from another process does not keep a silent agent alive.
     seed.record_agents(&seed.agent_list(2_900), 2_900);
     assert!(seed.agent_list(3_000).is_empty());
 }
--- a/tests/opaque/forwarder.rs
+++ b/tests/opaque/forwarder.rs
@@ -1,4 +1,4 @@
-//! What a balancer does with packets.
+//! The agent to which a balancer forwards each packet.
 
 use endivedyke::opaque::{Action, BackendState, Directory, Forwarder, MessageKind, UNKNOWN_LOAD_PERMILLE};
 use endivedyke::{Code, Suspicion};
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn each_copy_of_an_opener_without_an_answer_goes_to_another_agent() {
+fn each_copy_of_an_unanswered_opener_goes_to_another_agent() {
     let mut balancer = forwarder();
     let copies = [0, 1, 2].map(|copy| host_of(&send(&mut balancer, opener(&flow(1), copy))));
     assert_ne!(copies[0], copies[1]);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_copy_of_an_opener_that_was_taken_goes_where_it_was_taken() {
+fn copies_of_a_taken_opener_go_to_the_agent_that_took_it() {
     let mut balancer = forwarder();
     send(&mut balancer, opener(&flow(1), 0));
     balancer.record_holder(flow(1), host(4), 1_001);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn an_opener_that_no_agent_confirms_goes_to_the_next_soon() {
+fn an_opener_without_an_answer_goes_to_the_next_agent_after_the_timeout() {
     let mut balancer = forwarder();
     let first = host_of(&send(&mut balancer, opener(&flow(1), 0)));
     let mut suspicion = Suspicion::default();
@@ -55,12 +55,15 @@
     let next = hosts_told(&actions, MessageKind::Deliver);
     assert_eq!(next.len(), 1);
     assert_ne!(next[0], first);
-    assert!(!suspicion.is_suspected(first, 1_100), "one may be lost");
+    assert!(
+        !suspicion.is_suspected(first, 1_100),
+        "one opener may be lost"
+    );
 }
 
 #[test]
 fn an_agent_that_leaves_two_openers_in_a_row_unanswered_is_suspected() {
-    for heard in [false, true] {
+    for has_sent_message in [false, true] {
         let mut balancer = forwarder();
         let mut suspicion = Suspicion::default();
         let site = directory(1);
@@ -70,16 +73,16 @@
                 .handle(&site, &mut suspicion, packet, now_ms)
                 .expect("forwarded");
             balancer.tick(&site, &mut suspicion, now_ms + 100);
-            if heard {
+            if has_sent_message {
                 balancer.record_message(host(1), UNKNOWN_LOAD_PERMILLE, now_ms);
             }
         }
-        assert_eq!(suspicion.is_suspected(host(1), 1_300), !heard);
+        assert_eq!(suspicion.is_suspected(host(1), 1_300), !has_sent_message);
     }
 }
 
 #[test]
-fn an_opener_that_was_handed_on_suspects_nobody() {
+fn an_agent_that_handed_an_opener_on_is_not_suspected() {
     let mut balancer = forwarder();
     let first = host_of(&send(&mut balancer, opener(&flow(1), 0)));
     balancer.record_handed_on(&flow(1), first);
@@ -93,7 +96,7 @@
 }
 
 #[test]
-fn draining_backend_servers_get_no_opener_and_keep_their_flows() {
+fn draining_backend_servers_get_no_openers_and_keep_their_flows() {
     let mut directory = directory(2);
     publish(
         &mut directory,
@@ -142,7 +145,7 @@
 }
 
 #[test]
-fn hints_live_as_long_as_flows() {
+fn hints_expire_with_the_flow_lifetime() {
     let mut balancer = forwarder();
     balancer.record_holder(flow(1), host(1), 1_000);
     balancer.expire(60_000);
@@ -166,7 +169,7 @@
 }
 
 #[test]
-fn of_two_candidates_the_clearly_lighter_one_takes_the_opener() {
+fn of_two_candidates_the_clearly_less_loaded_one_gets_the_opener() {
     let first = host_of(&send(&mut forwarder(), opener(&flow(1), 0)));
     let second = host_of(&send(&mut forwarder(), opener(&flow(1), 1)));
     let cases = [
@@ -184,13 +187,13 @@
 }
 
 #[test]
-fn loads_that_are_old_or_unknown_change_nothing() {
+fn expired_and_unknown_loads_do_not_change_the_choice() {
     let first = host_of(&send(&mut forwarder(), opener(&flow(1), 0)));
     let second = host_of(&send(&mut forwarder(), opener(&flow(1), 1)));
-    for (load, heard_ms) in [(2_000, 0), (UNKNOWN_LOAD_PERMILLE, 900)] {
+    for (load, recorded_ms) in [(2_000, 0), (UNKNOWN_LOAD_PERMILLE, 900)] {
         let mut balancer = forwarder();
-        balancer.record_message(first, load, heard_ms);
-        balancer.record_message(second, 0, heard_ms);
+        balancer.record_message(first, load, recorded_ms);
+        balancer.record_message(second, 0, recorded_ms);
         let mut suspicion = Suspicion::default();
         let packet = opener(&flow(1), 0);
         let action = balancer.handle(&directory(5), &mut suspicion, packet, 2_500);
@@ -198,7 +201,7 @@
     }
 }
 
-/// A site of nine backend servers, of which every third stands in the balancer's zone.
+/// Returns a site of nine backend servers, every third of which is in the balancer's zone.
 fn three_zones() -> Directory {
     let mut site = directory(9);
     for index in (1..=9).filter(|index| index % 3 != 0) {
@@ -213,7 +216,7 @@
 }
 
 #[test]
-fn most_openers_stay_in_the_zone_and_the_far_servers_get_the_rest() {
+fn most_openers_stay_in_the_zone_and_other_zones_share_the_rest_evenly() {
     let site = three_zones();
     let mut counts = [0_u32; 10];
     for port in 1..9_001 {
@@ -226,18 +229,19 @@
         .filter(|index| index % 3 == 0)
         .map(|index| counts[index])
         .sum();
-    // One of the first four by hash is near for all but (6·5·4·3) / (9·8·7·6) of the openers.
+    // All but (6·5·4·3) / (9·8·7·6) of the openers have an agent of the zone among their first four by
+    // hash.
     assert!((7_800..8_060).contains(&near), "{counts:?}");
-    let evenly = |share: u32, index: usize| counts[index].abs_diff(share) < share / 5;
+    let is_even = |share: u32, index: usize| counts[index].abs_diff(share) < share / 5;
     assert!(
-        [3, 6, 9].iter().all(|index| evenly(near / 3, *index)),
+        [3, 6, 9].iter().all(|index| is_even(near / 3, *index)),
         "{counts:?}"
     );
     let far = 9_000 - near;
     assert!(
         [1, 2, 4, 5, 7, 8]
             .iter()
-            .all(|index| evenly(far / 6, *index)),
+            .all(|index| is_even(far / 6, *index)),
         "{counts:?}"
     );
 }
@@ -266,7 +270,7 @@
 }
 
 #[test]
-fn a_far_agent_with_clearly_less_to_do_is_chosen_before_a_near_one() {
+fn a_clearly_less_loaded_agent_in_another_zone_is_preferred_to_a_near_one() {
     let site = three_zones();
     let mut chosen = 0;
     for port in 1..500 {
@@ -276,39 +280,39 @@
             let action = balancer.handle(&site, &mut suspicion, packet, 1_000);
             host_of(&action.expect("forwarded"))
         };
-        let mut unaware = forwarder();
-        let (first, second) = (send(&mut unaware, 0), send(&mut unaware, 1));
-        let mut aware = forwarder();
+        let mut without_loads = forwarder();
+        let (first, second) = (send(&mut without_loads, 0), send(&mut without_loads, 1));
+        let mut with_loads = forwarder();
         for index in 1..=9 {
             let load_permille = if index % 3 == 0 { 1_500 } else { 500 };
-            aware.record_message(host(index), load_permille, 1_000);
+            with_loads.record_message(host(index), load_permille, 1_000);
         }
         let prefers_far = is_near(first) && !is_near(second);
         let expected = if prefers_far { second } else { first };
-        assert_eq!(send(&mut aware, 0), expected, "{port}");
+        assert_eq!(send(&mut with_loads, 0), expected, "{port}");
         chosen += u32::from(prefers_far);
     }
     assert!(chosen > 100, "{chosen}");
 }
 
 #[test]
-fn an_opener_that_the_lighter_agent_does_not_confirm_goes_to_the_other_soon() {
+fn an_opener_that_the_less_loaded_agent_does_not_answer_goes_to_the_other_one() {
     let site = directory(5);
     for port in 1..200 {
         let mut suspicion = Suspicion::default();
-        let mut unaware = forwarder();
+        let mut without_loads = forwarder();
         let packet = opener(&flow(port), 0);
-        let action = unaware.handle(&site, &mut suspicion, packet.clone(), 1_000);
+        let action = without_loads.handle(&site, &mut suspicion, packet.clone(), 1_000);
         let first = host_of(&action.expect("forwarded"));
-        let mut aware = forwarder();
+        let mut with_loads = forwarder();
         for index in 1..=5 {
             let load_permille = if host(index) == first { 1_500 } else { 500 };
-            aware.record_message(host(index), load_permille, 1_000);
+            with_loads.record_message(host(index), load_permille, 1_000);
         }
-        let action = aware.handle(&site, &mut suspicion, packet, 1_000);
-        let lighter = host_of(&action.expect("forwarded"));
-        assert_ne!(lighter, first);
-        let actions = aware.tick(&site, &mut suspicion, 1_100);
+        let action = with_loads.handle(&site, &mut suspicion, packet, 1_000);
+        let less_loaded = host_of(&action.expect("forwarded"));
+        assert_ne!(less_loaded, first);
+        let actions = with_loads.tick(&site, &mut suspicion, 1_100);
         assert_eq!(
             hosts_told(&actions, MessageKind::Deliver),
             [first],
@@ -327,14 +331,14 @@
 }
 
 #[test]
-fn the_next_opener_of_a_caller_whose_attempt_failed_is_its_retry() {
+fn the_next_opener_of_a_caller_after_a_failed_attempt_is_its_retry() {
     for (after_ms, expected_ms) in [(7, 607), (125, 725), (126, 0)] {
         let mut balancer = forwarder();
         balancer.record_failed_attempt(&flow(1), 600, 1_000);
         let now_ms = 1_000 + after_ms;
         let first = waited_ms(&mut balancer, opener(&flow(2), 0), now_ms);
         assert_eq!(first, expected_ms, "after {after_ms} ms");
-        // Its copies are as old, and the next opener of the same address is not this retry.
+        // Its copies have the same age. The next opener from the same address is not a retry.
         assert_eq!(
             waited_ms(&mut balancer, opener(&flow(2), 1), now_ms + 200),
             first
@@ -344,7 +348,7 @@
 }
 
 #[test]
-fn other_callers_are_not_taken_for_the_one_whose_attempt_failed() {
+fn an_opener_of_another_caller_is_not_a_retry() {
     let mut balancer = forwarder();
     balancer.record_failed_attempt(&flow(1), 600, 1_000);
     let other = flow_of("100.64.0.8".parse().expect("address"), 2);
--- a/tests/opaque/message_bounds.rs
+++ b/tests/opaque/message_bounds.rs
@@ -1,4 +1,4 @@
-//! How many messages a flow costs stays below the bounds in `bounds.txt`, whatever the size of a site.
+//! The number of messages for each flow stays within `bounds.txt` at any size of a site.
 
 use std::net::Ipv4Addr;
 
@@ -22,7 +22,7 @@
     bound.unwrap_or_else(|| panic!("{name} is not in bounds.txt"))
 }
 
-/// Agents that hear each other at once.
+/// Agents that get each other's messages at once, with a count of the messages.
 struct Site {
     agents: Agents,
     messages: usize,
@@ -42,8 +42,9 @@
         self.agents.with(at, self.now_ms, decide)
     }
 
-    /// Hands a message over and follows what comes of it; returns who handed it to a backend server.
-    fn say(
+    /// Delivers a message and all messages that follow from it. Returns the agent that handed the packet to
+    /// its backend server.
+    fn send(
         &mut self,
         to: Ipv4Addr,
         from: Ipv4Addr,
@@ -57,35 +58,35 @@
         let actions = self.with(to, |keeper, scene| {
             keeper.peer_says(scene, from, message, payload)
         });
-        self.perform(to, actions.expect("sound packet"))
+        self.run_actions(to, actions.expect("sound packet"))
     }
 
-    /// Does what an agent asks for; returns who handed a packet to a backend server.
-    fn perform(&mut self, at: Ipv4Addr, actions: Vec<Action>) -> Option<Ipv4Addr> {
-        let mut taker = None;
+    /// Runs the actions of an agent. Returns the agent that handed a packet to its backend server.
+    fn run_actions(&mut self, at: Ipv4Addr, actions: Vec<Action>) -> Option<Ipv4Addr> {
+        let mut holder = None;
         for action in actions {
             match action {
-                Action::ToBackend(_) => taker = Some(at),
+                Action::ToBackend(_) => holder = Some(at),
                 Action::ToPeer(next, message, payload) => {
-                    taker = taker.or(self.say(next, at, &message, &payload));
+                    holder = holder.or(self.send(next, at, &message, &payload));
                 }
                 Action::ToCaller(..) => {}
             }
         }
-        taker
+        holder
     }
 
-    /// Lets an agent look at what it waits for, later.
-    fn tick_after(&mut self, passed_ms: u64, at: Ipv4Addr) -> Option<Ipv4Addr> {
-        self.now_ms += passed_ms;
+    /// Ticks an agent after a time. Returns the agent that handed a packet to its backend server.
+    fn tick_after(&mut self, elapsed_ms: u64, at: Ipv4Addr) -> Option<Ipv4Addr> {
+        self.now_ms += elapsed_ms;
         let actions = self.with(at, |keeper, scene| keeper.tick(scene));
-        self.perform(at, actions)
+        self.run_actions(at, actions)
     }
 
     fn deliver(&mut self, to: Ipv4Addr, packet: &[u8]) -> Option<Ipv4Addr> {
         let mut message = Message::new(MessageKind::Deliver);
         message.host = BALANCER;
-        self.say(to, BALANCER, &message, packet)
+        self.send(to, BALANCER, &message, packet)
     }
 
     fn first_choice(&mut self, packet: Vec<u8>) -> Ipv4Addr {
@@ -101,15 +102,15 @@
         }
     }
 
-    /// Returns the agent at a place in the order in which a flow is placed.
+    /// Returns the agent at a place in the placement order of a flow.
     fn agent_in_order(&self, key: &FlowKey, place: usize) -> Ipv4Addr {
         let table = self.agents.directory.table(ServiceId::of(SERVICE));
         let table = table.expect("a service");
         endivedyke::ranked(table, key.hash(), |_| true)[place].host
     }
 
-    /// Fills the places of every second backend server.
-    fn crowd(&mut self) {
+    /// Fills every second backend server up to its limit.
+    fn fill_every_second(&mut self) {
         let mut port = 20_000;
         for index in (1..=self.agents.count()).step_by(2) {
             for _ in 0..8 {
@@ -130,11 +131,11 @@
 }
 
 #[test]
-fn openers_find_room_within_few_messages_at_any_size() {
+fn openers_are_taken_within_few_messages_at_any_size() {
     for size in SIZES {
         let mut site = Site::new(size);
-        site.crowd();
-        // A quarter of the free places, so that there is room all along.
+        site.fill_every_second();
+        // A quarter of the free places, so that there is room for all openers.
         let openers = FLOWS.min(size / 2 * 2);
         let mut taken = 0;
         for port in 0..openers {
@@ -156,7 +157,7 @@
 }
 
 #[test]
-fn a_flow_is_found_by_asking_a_few_at_any_size() {
+fn a_lookup_finds_a_flow_within_few_messages_at_any_size() {
     for size in SIZES {
         for port in 0..20 {
             let mut site = Site::new(size);
@@ -182,7 +183,7 @@
 }
 
 #[test]
-fn a_flow_that_was_passed_on_often_is_found_within_bounded_messages_at_any_size() {
+fn a_flow_whose_opener_was_passed_on_often_is_found_within_bounded_messages() {
     for size in [300, 1_000, 6_000] {
         let mut site = Site::new(size);
         for (port, place) in [(7, 20), (8, 60), (9, 200)] {
@@ -193,8 +194,8 @@
             let asked = site.first_choice(request(&key, 501));
             site.messages = 0;
             let mut found = site.deliver(asked, &request(&key, 501));
-            for passed_ms in [20, 200, 200] {
-                found = found.or_else(|| site.tick_after(passed_ms, asked));
+            for elapsed_ms in [20, 200, 200] {
+                found = found.or_else(|| site.tick_after(elapsed_ms, asked));
             }
             assert_eq!(found, Some(holder), "{size}, place {place}");
             let messages = site.messages as f64;
@@ -207,7 +208,7 @@
 }
 
 #[test]
-fn a_flow_where_nobody_expects_it_is_found_by_asking_all() {
+fn a_flow_at_an_unlikely_agent_is_found_by_querying_all() {
     for size in [7, 45, 250] {
         let mut site = Site::new(size);
         let key = flow(7);
--- a/tests/opaque/offers.rs
+++ b/tests/opaque/offers.rs
@@ -1,4 +1,4 @@
-//! Openers that a balancer offers from agent to agent, and what it does when one of them fails.
+//! Offers of openers from agent to agent, and the handling of agents that do not answer.
 
 use std::net::Ipv4Addr;
 
@@ -7,7 +7,7 @@
 
 use crate::builder::{ZONE, directory, flow, forwarder, opener, tell_deadline};
 
-/// A balancer before some agents whose callers have time for one attempt.
+/// A balancer and its agents, on a route with a deadline.
 struct Balancer {
     forwarder: Forwarder,
     directory: Directory,
@@ -16,7 +16,7 @@
 }
 
 impl Balancer {
-    fn before(agents: u16) -> Self {
+    fn with_agents(agents: u16) -> Self {
         let mut directory = directory(agents);
         tell_deadline(&mut directory);
         Self {
@@ -27,7 +27,7 @@
         }
     }
 
-    fn sends(&mut self, key: &FlowKey, copy: u32) -> (Ipv4Addr, MessageKind) {
+    fn send_opener(&mut self, key: &FlowKey, copy: u32) -> (Ipv4Addr, MessageKind) {
         let packet = opener(key, copy);
         let (directory, suspicion) = (&self.directory, &mut self.suspicion);
         let action = self
@@ -36,7 +36,7 @@
         sent(&action.expect("forwarded"))
     }
 
-    fn hears_decline(
+    fn decline(
         &mut self,
         key: &FlowKey,
         from: Ipv4Addr,
@@ -50,23 +50,23 @@
         sent(&next.expect("offered on"))
     }
 
-    /// Lets an opener come while no configuration is known.
-    fn hears_early(&mut self, key: &FlowKey, copy: u32) {
+    /// Delivers an opener while there is no configuration.
+    fn receive_early(&mut self, key: &FlowKey, copy: u32) {
         let (mut search, now_ms) = (FlowSearch::new(), self.now_ms);
         let packet = opener(key, copy);
         let result = self
             .forwarder
             .handle_without_routes(&mut search, &packet, now_ms);
-        assert!(result.is_err(), "nothing opens without a configuration");
+        assert!(result.is_err(), "no flow opens without a configuration");
     }
 
-    fn learns_routes(&mut self) -> Vec<Action> {
+    fn offer_early(&mut self) -> Vec<Action> {
         let (directory, suspicion) = (&self.directory, &mut self.suspicion);
         self.forwarder
             .offer_early_openers(directory, suspicion, self.now_ms)
     }
 
-    fn passes(&mut self, ms: u64) -> Vec<(Ipv4Addr, MessageKind)> {
+    fn advance(&mut self, ms: u64) -> Vec<(Ipv4Addr, MessageKind)> {
         self.now_ms += ms;
         let (directory, suspicion) = (&self.directory, &mut self.suspicion);
         let actions = self.forwarder.tick(directory, suspicion, self.now_ms);
@@ -82,85 +82,89 @@
 }
 
 #[test]
-fn an_opener_is_offered_until_the_least_wait_is_known() {
-    let mut balancer = Balancer::before(8);
-    let (first, kind) = balancer.sends(&flow(1), 0);
+fn an_opener_is_offered_until_the_agent_with_the_least_wait_is_known() {
+    let mut balancer = Balancer::with_agents(8);
+    let (first, kind) = balancer.send_opener(&flow(1), 0);
     assert_eq!(kind, MessageKind::Offer);
-    let (second, kind) = balancer.hears_decline(&flow(1), first, 60);
+    let (second, kind) = balancer.decline(&flow(1), first, 60);
     assert_eq!(kind, MessageKind::Offer);
     assert_ne!(first, second);
-    let (third, kind) = balancer.hears_decline(&flow(1), second, 20);
+    let (third, kind) = balancer.decline(&flow(1), second, 20);
     assert_eq!(kind, MessageKind::Offer);
-    let (fourth, kind) = balancer.hears_decline(&flow(1), third, 40);
+    let (fourth, kind) = balancer.decline(&flow(1), third, 40);
     assert_eq!(kind, MessageKind::Offer);
-    let (fifth, kind) = balancer.hears_decline(&flow(1), fourth, 50);
+    let (fifth, kind) = balancer.decline(&flow(1), fourth, 50);
     assert_eq!(kind, MessageKind::Offer);
-    let (last, kind) = balancer.hears_decline(&flow(1), fifth, 30);
+    let (last, kind) = balancer.decline(&flow(1), fifth, 30);
     assert_eq!((last, kind), (second, MessageKind::Deliver));
 }
 
 #[test]
-fn the_one_of_five_nearby_that_has_room_is_asked_first() {
-    let mut asked = Balancer::before(8);
-    let (first, _) = asked.sends(&flow(1), 0);
+fn the_one_of_five_agents_nearby_that_has_room_is_offered_the_opener_first() {
+    let mut probe = Balancer::with_agents(8);
+    let (first, _) = probe.send_opener(&flow(1), 0);
     let mut order = vec![first];
     for _ in 0..4 {
-        let (next, _) = asked.hears_decline(&flow(1), order[order.len() - 1], 60);
+        let (next, _) = probe.decline(&flow(1), order[order.len() - 1], 60);
         assert!(!order.contains(&next), "{next} was asked twice");
         order.push(next);
     }
-    let mut balancer = Balancer::before(8);
+    let mut balancer = Balancer::with_agents(8);
     for (index, host) in order.iter().enumerate() {
         let wait_ms = if index == 4 { 0 } else { 60 };
         let (directory, now_ms) = (&balancer.directory, balancer.now_ms);
         let forwarder = &mut balancer.forwarder;
         forwarder.record_wait(directory, *host, wait_ms, now_ms);
     }
-    assert_eq!(balancer.sends(&flow(1), 0), (order[4], MessageKind::Offer));
+    assert_eq!(balancer.send_opener(&flow(1), 0), (order[4], MessageKind::Offer));
 }
 
 #[test]
-fn an_agent_that_says_nothing_is_left_for_another() {
-    let mut balancer = Balancer::before(8);
-    let (first, _) = balancer.sends(&flow(1), 0);
-    assert!(balancer.passes(50).is_empty());
-    let next = balancer.passes(60);
+fn an_opener_without_an_answer_goes_to_another_agent() {
+    let mut balancer = Balancer::with_agents(8);
+    let (first, _) = balancer.send_opener(&flow(1), 0);
+    assert!(balancer.advance(50).is_empty());
+    let next = balancer.advance(60);
     assert_eq!(next.len(), 1);
     assert_ne!(next[0].0, first);
-    assert_eq!(next[0].1, MessageKind::Deliver, "agents may know no offers");
+    assert_eq!(
+        next[0].1,
+        MessageKind::Deliver,
+        "the agent may run a version without offers"
+    );
 }
 
 #[test]
-fn copies_go_where_the_opener_waits_and_elsewhere_once_that_agent_is_dead() {
-    let mut balancer = Balancer::before(8);
-    let (holder, _) = balancer.sends(&flow(1), 0);
+fn copies_go_to_the_agent_that_has_the_opener_until_it_stops_answering() {
+    let mut balancer = Balancer::with_agents(8);
+    let (holder, _) = balancer.send_opener(&flow(1), 0);
     balancer.forwarder.record_holder(flow(1), holder, balancer.now_ms);
-    assert!(balancer.passes(200).is_empty(), "it was answered");
-    assert_eq!(balancer.sends(&flow(1), 1), (holder, MessageKind::Deliver));
-    let next = balancer.passes(110);
+    assert!(balancer.advance(200).is_empty(), "it was answered");
+    assert_eq!(balancer.send_opener(&flow(1), 1), (holder, MessageKind::Deliver));
+    let next = balancer.advance(110);
     assert_eq!(
         next.len(),
         1,
-        "the agent that held it says nothing to its copy"
+        "the agent that has the opener does not answer its copy"
     );
     assert_ne!(next[0].0, holder);
 }
 
 #[test]
 fn without_a_deadline_openers_are_not_offered() {
-    let mut balancer = Balancer::before(8);
+    let mut balancer = Balancer::with_agents(8);
     balancer.directory.set_deadlines(Vec::new());
-    let (_, kind) = balancer.sends(&flow(1), 0);
+    let (_, kind) = balancer.send_opener(&flow(1), 0);
     assert_eq!(kind, MessageKind::Deliver);
 }
 
 #[test]
-fn what_came_before_the_configuration_is_offered_with_it() {
-    let mut balancer = Balancer::before(8);
-    balancer.hears_early(&flow(1), 1);
-    balancer.hears_early(&flow(2), 0);
+fn early_openers_are_offered_once_there_is_a_configuration() {
+    let mut balancer = Balancer::with_agents(8);
+    balancer.receive_early(&flow(1), 1);
+    balancer.receive_early(&flow(2), 0);
     balancer.now_ms += 60;
-    let actions = balancer.learns_routes();
+    let actions = balancer.offer_early();
     let offered = actions.iter().map(|action| match action {
         Action::ToPeer(_, message, packet) => (message.kind, message.waited_ms, packet.clone()),
         other => panic!("not offered: {other:?}"),
@@ -168,28 +172,28 @@
     let offered: Vec<_> = offered.collect();
     let offer = |port, copy| (MessageKind::Offer, 60, opener(&flow(port), copy));
     assert_eq!(offered, [offer(2, 0), offer(1, 1)]);
-    assert!(balancer.learns_routes().is_empty(), "each is offered once");
+    assert!(balancer.offer_early().is_empty(), "each is offered once");
     assert_eq!(
-        balancer.passes(110).len(),
+        balancer.advance(110).len(),
         2,
-        "they are watched like others"
+        "their answers are awaited like those of other openers"
     );
 }
 
 #[test]
-fn a_retry_that_came_before_the_configuration_has_waited_no_longer_than_it_did() {
-    let mut balancer = Balancer::before(8);
+fn an_early_retry_keeps_the_wait_known_when_it_arrived() {
+    let mut balancer = Balancer::with_agents(8);
     let key = flow(1);
     balancer
         .forwarder
         .record_failed_attempt(&key, 200, balancer.now_ms);
-    balancer.hears_early(&key, 0);
+    balancer.receive_early(&key, 0);
     balancer.now_ms += 60;
-    // A failure that is told later is not the one of which this is the retry.
+    // The opener arrived before this failure was reported, so it is not a retry of that attempt.
     balancer
         .forwarder
         .record_failed_attempt(&key, 900, balancer.now_ms);
-    let actions = balancer.learns_routes();
+    let actions = balancer.offer_early();
     let [Action::ToPeer(_, message, _)] = actions.as_slice() else {
         panic!("not offered: {actions:?}");
     };
@@ -197,11 +201,11 @@
 }
 
 #[test]
-fn a_service_that_is_evacuated_refuses_what_came_before_the_configuration() {
-    let mut balancer = Balancer::before(8);
+fn early_openers_of_an_evacuated_service_are_reset() {
+    let mut balancer = Balancer::with_agents(8);
     balancer.directory.set_evacuated(ZONE, true, 200);
-    balancer.hears_early(&flow(1), 0);
-    let actions = balancer.learns_routes();
+    balancer.receive_early(&flow(1), 0);
+    let actions = balancer.offer_early();
     assert!(
         matches!(actions.as_slice(), [Action::ToCaller(..)]),
         "{actions:?}"
@@ -209,17 +213,17 @@
 }
 
 #[test]
-fn what_came_before_the_configuration_is_left_to_its_caller_without_a_deadline() {
-    let mut balancer = Balancer::before(8);
+fn early_openers_without_a_deadline_are_not_offered() {
+    let mut balancer = Balancer::with_agents(8);
     balancer.directory.set_deadlines(Vec::new());
-    balancer.hears_early(&flow(1), 0);
-    assert!(balancer.learns_routes().is_empty());
+    balancer.receive_early(&flow(1), 0);
+    assert!(balancer.offer_early().is_empty());
 }
 
 #[test]
-fn a_copy_that_came_before_the_configuration_is_not_offered_once_the_next_is_due() {
-    let mut balancer = Balancer::before(8);
-    balancer.hears_early(&flow(1), 0);
+fn an_early_copy_is_not_offered_once_the_next_copy_is_due() {
+    let mut balancer = Balancer::with_agents(8);
+    balancer.receive_early(&flow(1), 0);
     balancer.now_ms += 200;
-    assert!(balancer.learns_routes().is_empty());
+    assert!(balancer.offer_early().is_empty());
 }
--- a/tests/opaque/openers.rs
+++ b/tests/opaque/openers.rs
@@ -1,4 +1,5 @@
-//! Which openers an agent takes while there is not room for all, and who hears of those it refuses.
+//! The openers that an agent takes under overload, and the notification of balancers about refused
+//! ones.
 
 use endivedyke::opaque::{
     Action, BackendState, FlowKey, MessageKind, ROUTES_HEADER, RouteTable, cold_backend_text,
@@ -10,8 +11,9 @@
 };
 
 #[test]
-fn while_there_is_not_room_for_all_fresh_openers_go_first() {
-    // Four slots: eight requests for a first copy, six for the second, four for the last.
+fn under_overload_fresh_openers_are_taken_first() {
+    // With four slots the limits are eight requests for the first copy, six for the second and four for
+    // the last.
     for (busy, taken) in [
         (3, [true, true, true]),
         (5, [true, true, false]),
@@ -29,8 +31,8 @@
 }
 
 #[test]
-fn a_retry_has_the_room_of_a_copy_that_is_as_old() {
-    // Four slots, seven requests there: only what is fresh is taken.
+fn a_retry_has_the_limit_of_a_copy_of_the_same_age() {
+    // With four slots and seven requests there, only fresh openers are taken.
     for (waited_ms, taken) in [(0, true), (100, true), (200, false), (600, false)] {
         let mut agent = AgentUnderTest::new(3, true);
         for port in 100..107 {
@@ -53,7 +55,7 @@
     assert_eq!(passed_on.map(|message| message.waited_ms), Some(700));
 }
 
-/// Returns the waits that balancers are told with failed attempts.
+/// Returns the waits in the reports of failed attempts to the balancer.
 fn failed_waits_ms(actions: &[Action]) -> Vec<u16> {
     let waits = actions.iter().filter_map(|action| match action {
         Action::ToPeer(BALANCER, message, _) if message.kind == MessageKind::AttemptFailed => {
@@ -65,18 +67,18 @@
 }
 
 #[test]
-fn balancers_hear_that_an_opener_was_refused_and_how_long_its_caller_waited() {
+fn balancers_are_notified_of_a_refused_opener_with_the_wait_of_its_caller() {
     let mut agent = AgentUnderTest::new(1, true);
     agent.leave();
     let actions = agent.deliver_retry(&opener(&flow(1), 2), 700);
     assert_eq!(failed_waits_ms(&actions), [1_300]);
-    // A copy that is dropped is no attempt that failed: its caller sends the next one.
+    // A dropped copy is no failed attempt, since its caller sends the next one.
     assert!(failed_waits_ms(&agent.deliver(&opener(&flow(2), 1))).is_empty());
 }
 
 #[test]
-fn balancers_hear_of_a_flow_that_is_gone_where_its_caller_may_try_again() {
-    for (repeatable, told) in [("yes", vec![0]), ("no", vec![])] {
+fn balancers_are_notified_of_a_flow_that_is_gone_if_its_caller_may_retry() {
+    for (repeatable, expected_waits_ms) in [("yes", vec![0]), ("no", vec![])] {
         let mut agent = AgentUnderTest::new(1, true);
         let routes = format!("{ROUTES_HEADER}\n{CALLED},{SERVICE},1,2,{repeatable}\n");
         agent
@@ -84,13 +86,14 @@
             .set_routes(RouteTable::parse(&routes).expect("sound routes"));
         let actions = agent.deliver(&request(&flow(1), 7));
         assert_eq!(resets(&actions), [flow(1)]);
-        assert_eq!(failed_waits_ms(&actions), told, "repeatable: {repeatable}");
+        assert_eq!(failed_waits_ms(&actions), expected_waits_ms, "repeatable: {repeatable}");
     }
 }
 
 #[test]
-fn a_backend_server_that_is_still_cold_gets_fewer_openers() {
-    // Four slots: six requests for a first copy, four for the second, three for the last.
+fn a_cold_backend_server_takes_fewer_openers() {
+    // With four slots the cold limits are six requests for the first copy, four for the second and three
+    // for the last.
     for (busy, cold, warm) in [
         (2, [true, true, true], [true, true, true]),
         (3, [true, true, false], [true, true, true]),
@@ -118,7 +121,7 @@
 }
 
 #[test]
-fn urgent_openers_have_room_where_others_have_none() {
+fn urgent_openers_are_taken_where_others_are_not() {
     let mut agent = AgentUnderTest::new(1, true);
     let routes =
         format!("{ROUTES_HEADER}\n{CALLED},{SERVICE},1,2,yes\n192.0.2.2:443,{SERVICE},1,1,no\n");
--- a/tests/opaque/outcomes.rs
+++ b/tests/opaque/outcomes.rs
@@ -1,4 +1,4 @@
-//! Which ends of requests say that a backend server fails, where callers have time for one attempt.
+//! The ends of requests that count as failures of a backend server, on routes with a deadline.
 
 use crate::builder::{
     ACK, AgentUnderTest, FIN, PacketSpec, RST, flow, from_backend, from_caller, opener,
@@ -6,11 +6,11 @@
 };
 use crate::waiting::answer;
 
-/// As many as show that a backend server fails, and some more.
+/// Flows whose ends, if they were failures, would be enough for a failing backend server.
 const ENDED: std::ops::Range<u16> = 1..6;
-/// More than the backend server is handed at once.
+/// Flows with more requests than the backend server is handed at once.
 const FULL: std::ops::Range<u16> = 100..120;
-/// Enough to show a failure among the answers of those.
+/// Flows whose ends, if they were failures, would be enough among the answers to [`FULL`].
 const LEAVING: std::ops::Range<u16> = 1..16;
 
 fn agent(has_deadline: bool, knows_all: bool) -> AgentUnderTest {
@@ -21,7 +21,7 @@
     agent
 }
 
-/// Lets the caller of a running request end its flow, and the backend server close it without an answer.
+/// Ends a flow with a running request by its caller, and then by the backend server without an answer.
 fn caller_leaves(agent: &mut AgentUnderTest, port: u16) {
     let key = flow(port);
     agent.open(&key, 500);
@@ -35,7 +35,7 @@
     backend_ends(agent, port, FIN);
 }
 
-/// Lets the backend server end a flow without an answer.
+/// Ends a flow by the backend server without an answer.
 fn backend_ends(agent: &mut AgentUnderTest, port: u16, flag: u8) {
     let end = PacketSpec {
         flags: ACK | flag,
@@ -45,7 +45,7 @@
     agent.backend(from_backend(&flow(port), end));
 }
 
-/// Lets a request come in on a flow from before the start of the agent, which the backend server resets.
+/// Delivers a request on a flow from before the start of the agent, which the backend server resets.
 fn flow_from_before_is_reset(agent: &mut AgentUnderTest, port: u16) {
     agent.deliver(&request(&flow(port), 501));
     agent.tick_at(agent.now_ms + 50);
@@ -59,15 +59,15 @@
     backend_ends(agent, port, RST);
 }
 
-/// Tells whether the agent takes openers as they come, so that its backend server does not fail.
+/// Returns whether the agent takes openers without limit, so that its backend server is not failing.
 fn takes_openers(agent: &mut AgentUnderTest) -> bool {
-    // One is risked also where it fails.
+    // A failing backend server is probed with one opener.
     agent.deliver(&opener(&flow(200), 0));
     reaches_backend(&agent.deliver(&opener(&flow(201), 0)))
 }
 
 #[test]
-fn callers_that_leave_show_no_failure() {
+fn flows_ended_by_their_callers_are_no_failures() {
     let mut agent = agent(true, true);
     for port in ENDED {
         caller_leaves(&mut agent, port);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn resets_of_flows_from_before_show_no_failure() {
+fn resets_of_flows_from_before_the_agent_are_no_failures() {
     let mut agent = agent(true, false);
     for port in ENDED {
         flow_from_before_is_reset(&mut agent, port);
@@ -87,21 +87,22 @@
 }
 
 #[test]
-fn callers_that_leave_while_their_requests_wait_show_no_failure() {
+fn flows_ended_by_their_callers_while_requests_wait_are_no_failures() {
     let mut agent = agent(true, true);
     for port in FULL {
         agent.open(&flow(port), 500);
     }
     for port in LEAVING {
-        let shows_itself = PacketSpec {
+        let acknowledgement = PacketSpec {
             flags: ACK,
             sequence: 501,
             acknowledgement: 101,
             data_bytes: 0,
         };
-        // The first tells of the flow, the second how far the backend server is.
-        agent.backend(from_backend(&flow(port), shows_itself));
-        agent.backend(from_backend(&flow(port), shows_itself));
+        // The first packet shows that the flow exists, the second what the backend server has
+        // acknowledged.
+        agent.backend(from_backend(&flow(port), acknowledgement));
+        agent.backend(from_backend(&flow(port), acknowledgement));
         agent.deliver(&request(&flow(port), 501));
         let leaves = PacketSpec {
             flags: ACK | FIN,
@@ -123,7 +124,7 @@
 }
 
 #[test]
-fn a_backend_server_that_resets_old_flows_which_it_has_shown_to_hold_fails() {
+fn resets_of_old_flows_that_were_proved_to_be_held_are_failures() {
     let mut agent = agent(true, false);
     for port in ENDED {
         agent.answer_from_backend(&flow(port));
@@ -133,7 +134,7 @@
 }
 
 #[test]
-fn a_backend_server_that_ends_flows_of_callers_who_wait_fails() {
+fn unanswered_flows_that_the_backend_server_ends_are_failures() {
     for flag in [FIN, RST] {
         let mut agent = agent(true, true);
         for port in ENDED {
--- a/tests/opaque/policies.rs
+++ b/tests/opaque/policies.rs
@@ -1,4 +1,4 @@
-//! The product's placement beside simpler policies, under the same openers, within `bounds.txt`.
+//! The product's placement compared with simpler policies for the same openers, within `bounds.txt`.
 
 use crate::message_bounds::bound;
 use crate::queue_model::Model;
@@ -13,7 +13,7 @@
     Policy::Product,
 ];
 
-/// Plays a plan under each policy and prints a row for each, for docs/MEASUREMENTS.md.
+/// Runs a plan under each policy, and prints a row for each, for docs/MEASUREMENTS.md.
 fn compare(name: &str, plan: &Plan) -> [Outcome; 6] {
     POLICIES.map(|policy| {
         let outcome = Model::run(plan, policy);
@@ -30,7 +30,7 @@
     })
 }
 
-/// Returns the share served in time by the best of the others, and by the product.
+/// Returns the share served in time by the best other policy, and by the product.
 fn shares(outcomes: &[Outcome; 6]) -> (f64, f64) {
     let [others @ .., _, product] = outcomes;
     let best = others
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn each_plan_is_served_in_time_as_the_bounds_say() {
+fn each_plan_is_served_in_time_within_the_bounds() {
     for (name, plan) in plans() {
         let (best, product) = shares(&compare(name, &plan));
         assert!(
@@ -93,8 +93,8 @@
     }
 }
 
-/// A service that lost power with all its hosts, and is asked for more than it can do while it is cold: 21
-/// slots that need 1.6 times as long, two seconds of it.
+/// Returns a plan in which all hosts of a service lose power, and the load then exceeds the capacity of
+/// the cold servers: 21 slots that need 1.6 times as long for two seconds.
 fn overload_after_power_loss(seed: u64) -> Plan {
     Plan {
         power_lost_ms: Some((6_000, 700)),
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn retries_do_not_take_the_place_of_what_can_still_be_served_in_time() {
+fn retries_do_not_displace_openers_that_can_still_be_served_in_time() {
     const SEEDS: u64 = 8;
     let in_time = |policy| -> f64 {
         let runs = (1..=SEEDS).map(|seed| Model::run(&overload_after_power_loss(seed), policy));
@@ -118,8 +118,8 @@
     assert!(known - unknown >= bound("opaque_in_time_by_known_retries"));
 }
 
-/// A site of a hundred servers and many balancers, each of which hears an agent every few seconds; its feeds
-/// have some requests each, with pauses.
+/// Returns a plan with a hundred servers and many balancers, each of which gets a message of each agent
+/// every few seconds. Its flows have a few requests each, with pauses.
 fn many_balancers(seed: u64) -> Plan {
     Plan {
         balancers: 50,
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn no_server_of_a_hundred_gets_much_more_than_its_share() {
+fn the_busiest_of_a_hundred_servers_is_near_the_mean() {
     const SEEDS: u64 = 2;
     let mean = |policy| {
         let runs = (1..=SEEDS).map(|seed| Model::run(&many_balancers(seed), policy));
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn a_plan_played_twice_gives_the_same_figures() {
+fn running_a_plan_twice_gives_the_same_result() {
     let plan = Plan {
         for_ms: 5_000,
         ..Plan::new(7, 4, 30.0, 0.8)
