--- a/src/opaque/flows/flow.rs
+++ b/src/opaque/flows/flow.rs
@@ -218,7 +218,7 @@
     /// Returns whether the flow occupies a slot of the backend server, or will soon.
     pub(super) fn is_busy(&self, now_ms: u64) -> bool {
         match &self.state {
-            FlowState::Opening(opening) => now_ms < opening.since_ms + opening.busy_timeout_ms,
+            FlowState::Opening(opener) => now_ms < opener.since_ms + opener.busy_timeout_ms,
             _ => {
                 let waits = |running: &RunningRequest| now_ms < running.since_ms + running.busy_timeout_ms;
                 self.is_open() && self.running.as_ref().is_some_and(waits)
--- a/src/opaque/flows/flow_table.rs
+++ b/src/opaque/flows/flow_table.rs
@@ -11,7 +11,7 @@
 const MAX_FLOWS: usize = 16_384;
 /// How long a flow is kept after its backend server has ended it, in milliseconds. Its last
 /// acknowledgements still arrive then.
-const CLOSED_MS: u64 = 2_000;
+const CLOSED_TTL_MS: u64 = 2_000;
 /// The age from which the counts are taken again where openers wait for a slot, in milliseconds: a
 /// fraction of the time for which a taken opener counts as busy.
 const COUNT_MAX_AGE_MS: u64 = 20;
@@ -108,8 +108,8 @@
             }
             match &flow.state {
                 FlowState::Elsewhere(_) | FlowState::Absent => return true,
-                FlowState::Opening(opening) if !flow.is_closed => {
-                    orphaned.openers.push((*key, opening.clone()));
+                FlowState::Opening(opener) if !flow.is_closed => {
+                    orphaned.openers.push((*key, opener.clone()));
                 }
                 // Without proof that this backend server held the flow, another one may hold it.
                 FlowState::Open if flow.is_confirmed && !flow.is_closed => orphaned.flows.push(EndedFlow {
@@ -132,16 +132,16 @@
         orphaned
     }
 
-    /// Returns at most `most` idle flows that `may_end` accepts, for the agent to end them towards
+    /// Returns at most `limit` idle flows that `may_end` accepts, for the agent to end them towards
     /// their callers. Each flow is returned once.
     pub(crate) fn end_idle(
         &mut self,
-        most: usize,
+        limit: usize,
         may_end: impl Fn(&FlowKey) -> bool,
     ) -> Vec<EndedFlow> {
         let mut ended = Vec::new();
         self.flows.retain(|key, flow| {
-            if ended.len() < most && !flow.is_end_sent && flow.is_idle() && may_end(key) {
+            if ended.len() < limit && !flow.is_end_sent && flow.is_idle() && may_end(key) {
                 flow.is_end_sent = true;
                 ended.push(EndedFlow {
                     key: *key,
@@ -153,15 +153,15 @@
         ended
     }
 
-    /// Removes expired flows, takes the counts again, and returns how many requests have become
+    /// Removes expired flows, counts again, and returns how many requests have become
     /// overdue.
     pub(crate) fn expire(&mut self, now_ms: u64) -> u32 {
         let (mut open, mut busy, mut overdue) = (0, 0, 0);
         let lifetime_ms = self.lifetime_ms;
         self.flows.retain(|key, flow| {
-            let kept_ms = if flow.is_closed { CLOSED_MS } else { lifetime_ms };
-            let keeps = now_ms < flow.last_seen_ms + kept_ms;
-            if keeps {
+            let ttl_ms = if flow.is_closed { CLOSED_TTL_MS } else { lifetime_ms };
+            let is_kept = now_ms < flow.last_seen_ms + ttl_ms;
+            if is_kept {
                 overdue += u32::from(flow.mark_overdue(key, now_ms));
                 open += u32::from(flow.is_open());
                 busy += u32::from(flow.is_busy(now_ms));
@@ -172,7 +172,7 @@
                     now_ms.saturating_sub(running.since_ms)
                 );
             }
-            keeps
+            is_kept
         });
         (self.open, self.busy) = (open, busy);
         self.counted_ms = now_ms;
