--- a/src/opaque/flows/flow.rs
+++ b/src/opaque/flows/flow.rs
@@ -157,7 +157,10 @@
 
     /// Records that the backend server has all data of the caller before the sequence number `next`.
     pub(crate) fn record_acknowledgement(&mut self, next: u32) {
-        if self.backend_acknowledgement.is_none_or(|known| is_after(next, known)) {
+        if self
+            .backend_acknowledgement
+            .is_none_or(|known| is_after(next, known))
+        {
             self.backend_acknowledgement = Some(next);
         }
     }
@@ -171,7 +174,10 @@
                 .backend_next_sequence
                 .is_none_or(|next| is_after(segment.sequence, next));
         let end = segment.end_sequence().wrapping_add(segment.accepts.into());
-        if self.backend_next_sequence.is_none_or(|next| is_after(end, next)) {
+        if self
+            .backend_next_sequence
+            .is_none_or(|next| is_after(end, next))
+        {
             self.backend_next_sequence = Some(end);
         }
         segment.payload_bytes > 0 || overtook
@@ -184,7 +190,8 @@
     pub(super) fn is_idle(&self) -> bool {
         let acknowledged = self.backend_next_sequence == Some(self.caller_acknowledgement);
         let is_clear = !self.has_ambiguous_requests && !self.may_continue_answer;
-        let was_answered = self.caller_next_sequence.is_some() && self.running.is_none() && acknowledged;
+        let was_answered =
+            self.caller_next_sequence.is_some() && self.running.is_none() && acknowledged;
         self.is_open() && self.is_confirmed && was_answered && is_clear
     }
 
@@ -220,7 +227,8 @@
         match &self.state {
             FlowState::Opening(opener) => now_ms < opener.since_ms + opener.busy_timeout_ms,
             _ => {
-                let waits = |running: &RunningRequest| now_ms < running.since_ms + running.busy_timeout_ms;
+                let waits =
+                    |running: &RunningRequest| now_ms < running.since_ms + running.busy_timeout_ms;
                 self.is_open() && self.running.as_ref().is_some_and(waits)
             }
         }
--- a/src/opaque/flows/flow_search.rs
+++ b/src/opaque/flows/flow_search.rs
@@ -119,7 +119,10 @@
             .collect();
         let parts = greeted.len().div_ceil(MAX_LISTED_AGENTS).max(1);
         let part = (now_ms / LIST_PART_MS) as usize % parts;
-        let listed = greeted.chunks(MAX_LISTED_AGENTS).nth(part).unwrap_or_default();
+        let listed = greeted
+            .chunks(MAX_LISTED_AGENTS)
+            .nth(part)
+            .unwrap_or_default();
         listed.iter().flat_map(Ipv4Addr::octets).collect()
     }
 
--- a/src/opaque/flows/flow_table.rs
+++ b/src/opaque/flows/flow_table.rs
@@ -112,10 +112,12 @@
                     orphaned.openers.push((*key, opener.clone()));
                 }
                 // Without proof that this backend server held the flow, another one may hold it.
-                FlowState::Open if flow.is_confirmed && !flow.is_closed => orphaned.flows.push(EndedFlow {
-                    key: *key,
-                    acknowledgement: flow.caller_acknowledgement,
-                }),
+                FlowState::Open if flow.is_confirmed && !flow.is_closed => {
+                    orphaned.flows.push(EndedFlow {
+                        key: *key,
+                        acknowledgement: flow.caller_acknowledgement,
+                    })
+                }
                 FlowState::Open | FlowState::Opening(_) | FlowState::Unconfirmed { .. } => {}
             }
             if let Some(running) = &flow.running {
@@ -159,7 +161,11 @@
         let (mut open, mut busy, mut overdue) = (0, 0, 0);
         let lifetime_ms = self.lifetime_ms;
         self.flows.retain(|key, flow| {
-            let ttl_ms = if flow.is_closed { CLOSED_TTL_MS } else { lifetime_ms };
+            let ttl_ms = if flow.is_closed {
+                CLOSED_TTL_MS
+            } else {
+                lifetime_ms
+            };
             let is_kept = now_ms < flow.last_seen_ms + ttl_ms;
             if is_kept {
                 overdue += u32::from(flow.mark_overdue(key, now_ms));
--- a/src/opaque/flows/lookup.rs
+++ b/src/opaque/flows/lookup.rs
@@ -257,7 +257,8 @@
     }
 
     fn position(&self, flow: &FlowKey) -> Result<usize, usize> {
-        self.pending.binary_search_by_key(flow, |lookup| lookup.flow)
+        self.pending
+            .binary_search_by_key(flow, |lookup| lookup.flow)
     }
 }
 
--- a/src/opaque/forwarder.rs
+++ b/src/opaque/forwarder.rs
@@ -19,8 +19,8 @@
 use crate::opaque::flows::flow_map::FlowMap;
 use crate::opaque::forwarder::sent_openers::SentOpener;
 use crate::opaque::openers::candidates;
-use crate::opaque::openers::retry_tracker::RetryTracker;
 use crate::opaque::openers::host_loads::HostLoads;
+use crate::opaque::openers::retry_tracker::RetryTracker;
 use crate::opaque::openers::service_means::ServiceMeans;
 use crate::opaque::packets::action::Action;
 use crate::opaque::packets::message::{Message, MessageKind, UNKNOWN_LOAD_PERMILLE};
@@ -350,7 +350,8 @@
 ///
 /// The caller of a later copy has sent a first one, which an agent may have taken meanwhile.
 fn is_evacuated_for(directory: &Directory, opener: &Segment) -> bool {
-    opener.acknowledgement == 0 && candidates::is_service_evacuated(directory, &opener.flow_from_caller())
+    opener.acknowledgement == 0
+        && candidates::is_service_evacuated(directory, &opener.flow_from_caller())
 }
 
 /// Returns the load over ten seconds, in thousandths, from the payload of a [`MessageKind::Holds`] or
--- a/src/opaque/forwarder/offers.rs
+++ b/src/opaque/forwarder/offers.rs
@@ -27,7 +27,13 @@
 
 impl Forwarder {
     /// Records how long a new flow would wait at an agent.
-    pub fn record_wait(&mut self, directory: &Directory, host: Ipv4Addr, wait_ms: u16, now_ms: u64) {
+    pub fn record_wait(
+        &mut self,
+        directory: &Directory,
+        host: Ipv4Addr,
+        wait_ms: u16,
+        now_ms: u64,
+    ) {
         let is_near = directory.is_in_zone(host, &self.zone);
         self.waits.heard(host, is_near, wait_ms, now_ms);
     }
--- a/src/opaque/keeper.rs
+++ b/src/opaque/keeper.rs
@@ -32,7 +32,9 @@
 use crate::opaque::flows::lookup::Lookups;
 use crate::opaque::keeper::waiting::WaitingWork;
 use crate::opaque::openers::cold_rate_limiter::ColdRateLimiter;
-use crate::opaque::openers::mean_load::{FAILING_LOAD_PERMILLE, MeanLoad, RECENT_SPAN_MS, STEADY_SPAN_MS};
+use crate::opaque::openers::mean_load::{
+    FAILING_LOAD_PERMILLE, MeanLoad, RECENT_SPAN_MS, STEADY_SPAN_MS,
+};
 use crate::opaque::openers::recent_outcomes::RecentOutcomes;
 use crate::opaque::packets::action::Action;
 use crate::opaque::packets::message::{Message, MessageKind, UNKNOWN_LOAD_PERMILLE};
@@ -167,7 +169,8 @@
     /// Returns the mean load of the backend server, for balancers to choose by.
     pub fn load_permille(&mut self, scene: &Scene<'_>) -> u16 {
         self.load.update(self.flows.busy_requests(), scene.now_ms);
-        self.steady_load.update(self.flows.busy_requests(), scene.now_ms);
+        self.steady_load
+            .update(self.flows.busy_requests(), scene.now_ms);
         self.note_slots(scene);
         if self.outcomes.is_failing(scene.now_ms) || self.is_stalled(scene.now_ms) {
             // What fails at once looks idle, and would attract what others could serve.
@@ -319,7 +322,10 @@
         let remembered = self.flows.insert(key, flow, now_ms);
         if !remembered {
             self.knows_all = false;
-            log::warn!("event=flows_full flow={key} open={}", self.flows.open_flows());
+            log::warn!(
+                "event=flows_full flow={key} open={}",
+                self.flows.open_flows()
+            );
         }
         remembered
     }
--- a/src/opaque/keeper/answers.rs
+++ b/src/opaque/keeper/answers.rs
@@ -172,7 +172,13 @@
     }
 
     /// Notes that the backend server ended a flow whose request it had not answered.
-    fn note_closed(&mut self, key: &FlowKey, running: &RunningRequest, end: UnansweredEnd, now_ms: u64) {
+    fn note_closed(
+        &mut self,
+        key: &FlowKey,
+        running: &RunningRequest,
+        end: UnansweredEnd,
+        now_ms: u64,
+    ) {
         let waited_ms = now_ms.saturating_sub(running.since_ms);
         log::warn!(
             "event=request_lost request={} flow={key} waited_ms={waited_ms} reason={}",
--- a/src/opaque/keeper/declines.rs
+++ b/src/opaque/keeper/declines.rs
@@ -39,7 +39,12 @@
     /// Tells whether an opener that could be taken should rather go to an agent with less to do.
     ///
     /// Only one whose caller has not waited goes on: each further agent is a risk and some milliseconds.
-    pub(super) fn declines(&self, scene: &Scene<'_>, opening: &PendingOpener, message: &Message) -> bool {
+    pub(super) fn declines(
+        &self,
+        scene: &Scene<'_>,
+        opening: &PendingOpener,
+        message: &Message,
+    ) -> bool {
         let is_fresh = opening.copy == 0 && opening.waited_ms == 0;
         let from_balancer = matches!(message.kind, MessageKind::Deliver | MessageKind::Offer);
         let may_decline = from_balancer && is_fresh;
--- a/src/opaque/keeper/delivery.rs
+++ b/src/opaque/keeper/delivery.rs
@@ -3,7 +3,9 @@
 use std::net::Ipv4Addr;
 
 use crate::config::deadlines::Deadline;
-use crate::opaque::flows::flow::{REQUEST_BUSY_TIMEOUT_MS, Flow, FlowState, PacketSource, RunningRequest};
+use crate::opaque::flows::flow::{
+    Flow, FlowState, PacketSource, REQUEST_BUSY_TIMEOUT_MS, RunningRequest,
+};
 use crate::opaque::keeper::{Keeper, Scene, say_holds, tell_balancer};
 use crate::opaque::packets::action::Action;
 use crate::opaque::packets::message::{Message, MessageKind};
@@ -56,7 +58,13 @@
             }
             // What the backend server returns has ended, and nobody need be asked.
             _ if message.has_opened => {
-                self.try_backend(scene, segment, packet, PacketSource::BalancerKnowsOpened, actions);
+                self.try_backend(
+                    scene,
+                    segment,
+                    packet,
+                    PacketSource::BalancerKnowsOpened,
+                    actions,
+                );
             }
             None if !self.knows_all => {
                 self.try_backend(scene, segment, packet, PacketSource::Balancer, actions);
@@ -99,7 +107,9 @@
             match &mut flow.running {
                 Some(running) => running.since_ms = now_ms,
                 None if is_held_back && was_open => return Delivery::Waits,
-                None => flow.running = Some(RunningRequest::new(request_id(packet), counts_ms, now_ms)),
+                None => {
+                    flow.running = Some(RunningRequest::new(request_id(packet), counts_ms, now_ms))
+                }
             }
             Delivery::Handed
         });
@@ -169,7 +179,9 @@
 /// Returns how long a request without an answer counts as work, in milliseconds: as long as its caller waits, where
 /// that is told.
 pub(super) fn counts_ms(deadline: Option<Deadline>) -> u64 {
-    deadline.map_or(REQUEST_BUSY_TIMEOUT_MS, |deadline| deadline.timeout_ms.into())
+    deadline.map_or(REQUEST_BUSY_TIMEOUT_MS, |deadline| {
+        deadline.timeout_ms.into()
+    })
 }
 
 /// Tells whether a caller's packet belongs to a flow that is held here, and opens it if so.
--- a/src/opaque/keeper/opener_checks.rs
+++ b/src/opaque/keeper/opener_checks.rs
@@ -97,7 +97,12 @@
     }
 
     /// Tells whether an opener should rather go to an agent that has not been offered it.
-    fn others_may_do_better(&self, scene: &Scene<'_>, key: &FlowKey, opening: &PendingOpener) -> bool {
+    fn others_may_do_better(
+        &self,
+        scene: &Scene<'_>,
+        key: &FlowKey,
+        opening: &PendingOpener,
+    ) -> bool {
         let hops = opening.hops;
         let next = next_host(scene, self.identity.host, key, hops, MAX_HOPS);
         hops < FAILING_HOPS && next.is_some()
--- a/src/opaque/keeper/openers.rs
+++ b/src/opaque/keeper/openers.rs
@@ -1,7 +1,9 @@
 //! Openers: which the agent takes, and where the others go.
 
 use crate::config::deadlines::Deadline;
-use crate::opaque::flows::flow::{OPENER_BUSY_TIMEOUT_MS, DEADLINE_OPENER_BUSY_TIMEOUT_MS, Flow, FlowState, PendingOpener};
+use crate::opaque::flows::flow::{
+    DEADLINE_OPENER_BUSY_TIMEOUT_MS, Flow, FlowState, OPENER_BUSY_TIMEOUT_MS, PendingOpener,
+};
 use crate::opaque::keeper::declines::Declined;
 use crate::opaque::keeper::opener_limits::OwnPlace;
 use crate::opaque::keeper::{Keeper, Scene, say_holds, tell};
@@ -190,7 +192,12 @@
 }
 
 /// Returns an opener as it came with a message.
-fn opening_of(scene: &Scene<'_>, segment: &Segment, packet: &[u8], message: &Message) -> PendingOpener {
+fn opening_of(
+    scene: &Scene<'_>,
+    segment: &Segment,
+    packet: &[u8],
+    message: &Message,
+) -> PendingOpener {
     let deadline = scene.directory.deadline(segment.destination);
     PendingOpener {
         since_ms: scene.now_ms,
@@ -199,7 +206,8 @@
         hops: message.hops,
         copy: segment.acknowledgement,
         waited_ms: message.waited_ms,
-        busy_timeout_ms: deadline.map_or(OPENER_BUSY_TIMEOUT_MS, |_| DEADLINE_OPENER_BUSY_TIMEOUT_MS),
+        busy_timeout_ms: deadline
+            .map_or(OPENER_BUSY_TIMEOUT_MS, |_| DEADLINE_OPENER_BUSY_TIMEOUT_MS),
         is_answered: false,
         backend_sequence: 0,
     }
--- a/src/opaque/keeper/questions.rs
+++ b/src/opaque/keeper/questions.rs
@@ -4,7 +4,7 @@
 
 use crate::code::Code;
 use crate::opaque::flows::flow::{Flow, FlowState, PacketSource};
-use crate::opaque::flows::lookup::{FIRST_QUERIED, LookupPacket, LookupOutcome};
+use crate::opaque::flows::lookup::{FIRST_QUERIED, LookupOutcome, LookupPacket};
 use crate::opaque::keeper::{Keeper, Scene, say_holds, tell};
 use crate::opaque::openers::opener_order::likely_holders;
 use crate::opaque::packets::action::Action;
@@ -56,7 +56,13 @@
             return;
         }
         if self.flows.get(&key).is_none() && !self.knows_all && self.backend_up {
-            self.try_backend(scene, segment, packet, PacketSource::AskingAgent(asker), actions);
+            self.try_backend(
+                scene,
+                segment,
+                packet,
+                PacketSource::AskingAgent(asker),
+                actions,
+            );
         } else {
             tell(MessageKind::Absent, &key, asker, actions);
         }
--- a/src/opaque/mod.rs
+++ b/src/opaque/mod.rs
@@ -26,11 +26,13 @@
 pub use crate::config::route_table::{ROUTES_HEADER, ROUTES_NAME, Route, RouteShare, RouteTable};
 pub use crate::config::service_names::{SERVICES_NAME, service_names, services_text};
 pub use crate::opaque::flows::flow_search::FlowSearch;
-pub use crate::opaque::flows::lookup::{Lookups, LookupPacket, LookupOutcome};
+pub use crate::opaque::flows::lookup::{LookupOutcome, LookupPacket, Lookups};
 pub use crate::opaque::forwarder::{Forwarder, decode_steady_load, decode_wait_ms};
 pub use crate::opaque::keeper::{Keeper, KeeperIdentity, Scene};
 pub use crate::opaque::packets::action::Action;
-pub use crate::opaque::packets::message::{Message, MessageKind, UNKNOWN_AGE_MS, UNKNOWN_LOAD_PERMILLE};
+pub use crate::opaque::packets::message::{
+    Message, MessageKind, UNKNOWN_AGE_MS, UNKNOWN_LOAD_PERMILLE,
+};
 pub use crate::opaque::packets::segment::{FlowKey, Segment, WireFormat};
 pub use crate::opaque::values::backend_change::BackendChange;
 pub use crate::opaque::values::directory::Directory;
--- a/src/opaque/openers/candidates.rs
+++ b/src/opaque/openers/candidates.rs
@@ -36,7 +36,10 @@
     now_ms: u64,
 ) -> Result<Vec<Ipv4Addr>> {
     let mut order = ranked(directory, suspicion, flow, now_ms)?;
-    let preferred = (order.len() / 2).clamp(*ZONE_PREFERENCE_CANDIDATES.start(), *ZONE_PREFERENCE_CANDIDATES.end());
+    let preferred = (order.len() / 2).clamp(
+        *ZONE_PREFERENCE_CANDIDATES.start(),
+        *ZONE_PREFERENCE_CANDIDATES.end(),
+    );
     let length = order.len();
     let first = &mut order[..preferred.min(length)];
     let is_near = |host: &Ipv4Addr| directory.is_in_zone(*host, zone);
--- a/src/opaque/openers/host_loads.rs
+++ b/src/opaque/openers/host_loads.rs
@@ -45,7 +45,11 @@
     }
 
     /// Returns the mean of the unexpired loads of `hosts` in thousandths, or `None` if there are too few.
-    pub(crate) fn mean_permille(&self, hosts: impl Iterator<Item = Ipv4Addr>, now_ms: u64) -> Option<u16> {
+    pub(crate) fn mean_permille(
+        &self,
+        hosts: impl Iterator<Item = Ipv4Addr>,
+        now_ms: u64,
+    ) -> Option<u16> {
         let (mut sum, mut count) = (0, 0);
         for permille in hosts.filter_map(|host| self.newer_than(host, MEAN_MAX_AGE_MS, now_ms)) {
             sum += u32::from(permille);
--- a/src/opaque/openers/mod.rs
+++ b/src/opaque/openers/mod.rs
@@ -6,9 +6,9 @@
 
 pub(crate) mod candidates;
 pub(crate) mod cold_rate_limiter;
-pub(crate) mod retry_tracker;
 pub(crate) mod host_loads;
 pub(crate) mod mean_load;
 pub(crate) mod opener_order;
 pub(crate) mod recent_outcomes;
+pub(crate) mod retry_tracker;
 pub(crate) mod service_means;
--- a/src/opaque/openers/recent_outcomes.rs
+++ b/src/opaque/openers/recent_outcomes.rs
@@ -41,7 +41,8 @@
         self.decay(now_ms);
         let has_enough = self.failed >= MIN_FAILED_WEIGHT;
         let total = self.served + self.failed;
-        has_enough && (self.failed_in_a_row >= FAILING_IN_A_ROW || self.failed >= FAILING_SHARE * total)
+        has_enough
+            && (self.failed_in_a_row >= FAILING_IN_A_ROW || self.failed >= FAILING_SHARE * total)
     }
 
     fn decay(&mut self, now_ms: u64) {
--- a/src/opaque/openers/retry_tracker.rs
+++ b/src/opaque/openers/retry_tracker.rs
@@ -53,7 +53,8 @@
 
     /// Records that an attempt of a caller failed after it had waited for `waited_ms` in all its attempts.
     pub(crate) fn record_failure(&mut self, caller: Ipv4Addr, waited_ms: u64, now_ms: u64) {
-        self.failed_attempts.retain(|failed| failed.awaits_retry(now_ms));
+        self.failed_attempts
+            .retain(|failed| failed.awaits_retry(now_ms));
         if self.failed_attempts.len() < MAX_ENTRIES {
             self.failed_attempts.push(FailedAttempt {
                 caller,
@@ -73,7 +74,8 @@
             return self.waits.get(flow).map_or(0, |wait| wait.waited_ms);
         }
         let caller = *flow.caller.ip();
-        let may_retry = |failed: &FailedAttempt| failed.caller == caller && failed.awaits_retry(now_ms);
+        let may_retry =
+            |failed: &FailedAttempt| failed.caller == caller && failed.awaits_retry(now_ms);
         let Some(index) = self.failed_attempts.iter().position(may_retry) else {
             return 0;
         };
--- a/src/opaque/packets/message.rs
+++ b/src/opaque/packets/message.rs
@@ -186,13 +186,15 @@
         let malformed = || Error::new(Code::MessageMalformed, format!("{} bytes", datagram.len()));
         let at = datagram.len().checked_sub(TRAILER_BYTES);
         let (payload, trailer) = datagram.split_at(at.ok_or_else(malformed)?);
-        let kind = decode_kind(trailer[1] & ((1 << KIND_BITS) - 1)).filter(|_| trailer[0] == VERSION);
+        let kind =
+            decode_kind(trailer[1] & ((1 << KIND_BITS) - 1)).filter(|_| trailer[0] == VERSION);
         let kind = kind.ok_or_else(malformed)?;
         let (hops, has_opened, max_wait_units) = match kind {
             MessageKind::Offer => (0, false, trailer[2]),
             _ => (trailer[2] & !OPENED_BIT, trailer[2] & OPENED_BIT != 0, 0),
         };
-        let u64_at = |at: usize| u64::from_be_bytes(trailer[at..at + 8].try_into().unwrap_or([0; 8]));
+        let u64_at =
+            |at: usize| u64::from_be_bytes(trailer[at..at + 8].try_into().unwrap_or([0; 8]));
         let u16_at = |at: usize| u16::from_be_bytes([trailer[at], trailer[at + 1]]);
         Ok((
             payload,
--- a/src/opaque/processes/entry.rs
+++ b/src/opaque/processes/entry.rs
@@ -189,7 +189,9 @@
             }
             MessageKind::Found => {
                 log::info!("event=flow_found flow={flow} host={from}");
-                self.forwarder.borrow_mut().record_holder(flow, from, now_ms);
+                self.forwarder
+                    .borrow_mut()
+                    .record_holder(flow, from, now_ms);
             }
             MessageKind::AttemptFailed => {
                 let mut forwarder = self.forwarder.borrow_mut();
--- a/src/opaque/values/published.rs
+++ b/src/opaque/values/published.rs
@@ -13,7 +13,7 @@
 use crate::controllers::control::Control;
 use crate::controllers::relay;
 use crate::error::Result;
-use crate::opaque::packets::message::{Message, UNKNOWN_AGE_MS, SETTLE_UNIT_MS};
+use crate::opaque::packets::message::{Message, SETTLE_UNIT_MS, UNKNOWN_AGE_MS};
 use crate::opaque::values::freshness::{self, Asker, Freshness, Standing, WATCH_WAIT_MS};
 use crate::opaque::values::news::{dropped, news, vanished};
 use crate::opaque::values::published_entry::LAPSE_MS;
--- a/tests/opaque/declines.rs
+++ b/tests/opaque/declines.rs
@@ -115,7 +115,10 @@
         asked.push(told(next));
     }
     assert_eq!(asked.len(), 4, "{asked:?}");
-    assert_eq!(asked[3].1, UNKNOWN_LOAD_PERMILLE, "the last one can't decline");
+    assert_eq!(
+        asked[3].1, UNKNOWN_LOAD_PERMILLE,
+        "the last one can't decline"
+    );
     let mut hosts: Vec<Ipv4Addr> = asked.iter().map(|(host, _)| *host).collect();
     hosts.sort_unstable();
     hosts.dedup();
@@ -158,7 +161,11 @@
 #[test]
 fn balancers_tell_the_mean_of_many_servers_as_far_as_they_know_it() {
     assert_eq!(mean_told(20, &[100, 200, 300, 400]), 250);
-    assert_eq!(mean_told(20, &[100, 200, 300]), UNKNOWN_LOAD_PERMILLE, "too few");
+    assert_eq!(
+        mean_told(20, &[100, 200, 300]),
+        UNKNOWN_LOAD_PERMILLE,
+        "too few"
+    );
     assert_eq!(
         mean_told(15, &[100, 200, 300, 400]),
         UNKNOWN_LOAD_PERMILLE,
--- a/tests/opaque/forwarder.rs
+++ b/tests/opaque/forwarder.rs
@@ -1,6 +1,8 @@
 //! The agent to which a balancer forwards each packet.
 
-use endivedyke::opaque::{Action, BackendState, Directory, Forwarder, MessageKind, UNKNOWN_LOAD_PERMILLE};
+use endivedyke::opaque::{
+    Action, BackendState, Directory, Forwarder, MessageKind, UNKNOWN_LOAD_PERMILLE,
+};
 use endivedyke::{Code, Suspicion};
 
 use crate::builder::{
--- a/tests/opaque/lookup.rs
+++ b/tests/opaque/lookup.rs
@@ -1,6 +1,6 @@
 //! Lookups of a flow's holder, and the proof that no agent holds the flow.
 
-use endivedyke::opaque::{BackendState, Lookups, OpaqueMetrics, LookupPacket, LookupOutcome};
+use endivedyke::opaque::{BackendState, LookupOutcome, LookupPacket, Lookups, OpaqueMetrics};
 
 use crate::builder::{
     BALANCER, WIRE, directory, flow, host, publish, request, state_text, tell_deadline, vanish,
@@ -62,7 +62,10 @@
         1_400,
     );
     vanish(&mut grown, 3, 11, 1_500);
-    assert_ne!(lookups.outcome(&flow(1), &grown, 11), LookupOutcome::Pending);
+    assert_ne!(
+        lookups.outcome(&flow(1), &grown, 11),
+        LookupOutcome::Pending
+    );
 }
 
 #[test]
@@ -73,7 +76,10 @@
         start_lookup(&mut lookups, 3).is_empty(),
         "a lookup is already pending"
     );
-    assert!(lookups.due_queries(&directory(3), 1_100).is_empty(), "too soon");
+    assert!(
+        lookups.due_queries(&directory(3), 1_100).is_empty(),
+        "too soon"
+    );
     assert_eq!(lookups.due_queries(&directory(3), 1_200).len(), 2);
     lookups.due_queries(&directory(3), 3_000);
     assert!(lookups.is_empty());
@@ -82,18 +88,31 @@
 #[test]
 fn on_a_large_site_the_likely_holders_are_queried_first_and_then_the_others() {
     let mut lookups = Lookups::new(&OpaqueMetrics::default());
-    assert_eq!(start_lookup(&mut lookups, 33).len(), 32, "few enough to query all");
+    assert_eq!(
+        start_lookup(&mut lookups, 33).len(),
+        32,
+        "few enough to query all"
+    );
     lookups.cancel(&flow(1));
     assert_eq!(start_lookup(&mut lookups, 34), LIKELY.map(host));
     lookups.record_absent(&flow(1), host(LIKELY[0]), 34);
-    assert!(lookups.due_queries(&directory(34), 1_019).is_empty(), "too soon");
+    assert!(
+        lookups.due_queries(&directory(34), 1_019).is_empty(),
+        "too soon"
+    );
     let widened = lookups.due_queries(&directory(34), 1_020);
     assert_eq!(widened.len(), 32, "all but the one that answered");
-    assert_eq!(lookups.outcome(&flow(1), &directory(34), 34), LookupOutcome::Pending);
+    assert_eq!(
+        lookups.outcome(&flow(1), &directory(34), 34),
+        LookupOutcome::Pending
+    );
     for index in 2..=34 {
         lookups.record_absent(&flow(1), host(index), 34);
     }
-    assert_ne!(lookups.outcome(&flow(1), &directory(34), 34), LookupOutcome::Pending);
+    assert_ne!(
+        lookups.outcome(&flow(1), &directory(34), 34),
+        LookupOutcome::Pending
+    );
 }
 
 #[test]
@@ -102,7 +121,10 @@
         let directory = directory(count);
         let mut lookups = Lookups::new(&OpaqueMetrics::default());
         assert_eq!(start_lookup(&mut lookups, count), LIKELY.map(host));
-        assert!(lookups.due_queries(&directory, 1_019).is_empty(), "too soon");
+        assert!(
+            lookups.due_queries(&directory, 1_019).is_empty(),
+            "too soon"
+        );
         let revision = u64::from(count);
         let near = lookups.due_queries(&directory, 1_020);
         assert_eq!(near.len(), 64, "{count} agents");
--- a/tests/opaque/offers.rs
+++ b/tests/opaque/offers.rs
@@ -36,12 +36,7 @@
         sent(&action.expect("forwarded"))
     }
 
-    fn decline(
-        &mut self,
-        key: &FlowKey,
-        from: Ipv4Addr,
-        wait_ms: u16,
-    ) -> (Ipv4Addr, MessageKind) {
+    fn decline(&mut self, key: &FlowKey, from: Ipv4Addr, wait_ms: u16) -> (Ipv4Addr, MessageKind) {
         let (directory, now_ms) = (&self.directory, self.now_ms);
         self.forwarder.record_wait(directory, from, wait_ms, now_ms);
         let next = self
@@ -116,7 +111,10 @@
         let forwarder = &mut balancer.forwarder;
         forwarder.record_wait(directory, *host, wait_ms, now_ms);
     }
-    assert_eq!(balancer.send_opener(&flow(1), 0), (order[4], MessageKind::Offer));
+    assert_eq!(
+        balancer.send_opener(&flow(1), 0),
+        (order[4], MessageKind::Offer)
+    );
 }
 
 #[test]
@@ -138,9 +136,14 @@
 fn copies_go_to_the_agent_that_has_the_opener_until_it_stops_answering() {
     let mut balancer = Balancer::with_agents(8);
     let (holder, _) = balancer.send_opener(&flow(1), 0);
-    balancer.forwarder.record_holder(flow(1), holder, balancer.now_ms);
+    balancer
+        .forwarder
+        .record_holder(flow(1), holder, balancer.now_ms);
     assert!(balancer.advance(200).is_empty(), "it was answered");
-    assert_eq!(balancer.send_opener(&flow(1), 1), (holder, MessageKind::Deliver));
+    assert_eq!(
+        balancer.send_opener(&flow(1), 1),
+        (holder, MessageKind::Deliver)
+    );
     let next = balancer.advance(110);
     assert_eq!(
         next.len(),
--- a/tests/opaque/opened_flows.rs
+++ b/tests/opaque/opened_flows.rs
@@ -143,13 +143,13 @@
 #[test]
 fn a_later_flow_between_the_same_ends_is_not_taken_for_the_one_before() {
     let mut reopened = forwarder();
-    reopened.opened(flow(1), host(4), 1_000);
+    reopened.record_opened(flow(1), host(4), 1_000);
     assert!(!is_sent_as_opened(&mut reopened, opener(&flow(1), 0)));
     assert!(!is_sent_as_opened(&mut reopened, request(&flow(1), 501)));
 
     // Its opener came through another balancer.
     let mut unaware = forwarder();
-    unaware.opened(flow(1), host(4), 1_000);
+    unaware.record_opened(flow(1), host(4), 1_000);
     assert!(is_sent_as_opened(&mut unaware, request(&flow(1), 501)));
     assert!(!is_sent_as_opened(
         &mut unaware,
--- a/tests/opaque/openers.rs
+++ b/tests/opaque/openers.rs
@@ -86,7 +86,11 @@
             .set_routes(RouteTable::parse(&routes).expect("sound routes"));
         let actions = agent.deliver(&request(&flow(1), 7));
         assert_eq!(resets(&actions), [flow(1)]);
-        assert_eq!(failed_waits_ms(&actions), expected_waits_ms, "repeatable: {repeatable}");
+        assert_eq!(
+            failed_waits_ms(&actions),
+            expected_waits_ms,
+            "repeatable: {repeatable}"
+        );
     }
 }
 
--- a/tests/opaque/queue_model/processes.rs
+++ b/tests/opaque/queue_model/processes.rs
@@ -104,8 +104,13 @@
             MessageKind::Holds => forwarder.record_holder(key, message.host, self.now_ms),
             MessageKind::Declined => {
                 let (agents, now_ms) = (&self.agents, self.now_ms);
-                let action =
-                    forwarder.handle_decline(&agents.directory, &agents.suspicion, &key, from, now_ms);
+                let action = forwarder.handle_decline(
+                    &agents.directory,
+                    &agents.suspicion,
+                    &key,
+                    from,
+                    now_ms,
+                );
                 self.perform(BALANCER, action.into_iter().collect());
             }
             MessageKind::Absent => forwarder.record_handed_on(&key, from),
