--- a/src/opaque/values/value_sync.rs
+++ b/src/opaque/values/value_sync.rs
@@ -13,7 +13,7 @@
 use crate::controllers::control_plane::ControlPlane;
 use crate::controllers::relay;
 use crate::error::Result;
-use crate::opaque::packets::message::{Message, UNKNOWN_AGE_MS, UNSETTLED_UNIT_MS};
+use crate::opaque::packets::message::{Message, SETTLE_UNIT_MS, UNKNOWN_AGE_MS};
 use crate::opaque::values::batch_diff::{dropped_values, new_values, removed_names};
 use crate::opaque::values::freshness::{
     self, Freshness, ProcessLocation, RelayPosition, WATCH_WAIT_MS,
@@ -324,7 +324,7 @@
     /// Fills in what every message tells about its sender's values.
     pub(crate) fn sign(&self, message: &mut Message) {
         let now_ms = self.control.now_ms();
-        message.unsettled_ms = self.unsettled_ms() as u16;
+        message.settle_remaining_ms = self.unsettled_ms() as u16;
         message.digest = self.control.store.borrow().digest();
         let age_ms = self.freshness.borrow().reported_age_ms(now_ms);
         message.age_ms = age_ms.map_or(UNKNOWN_AGE_MS, |age_ms| age_ms as u32);
@@ -378,7 +378,7 @@
     /// traffic that it is about.
     pub(crate) fn noticed(self: &Rc<Self>, from: Ipv4Addr, message: &Message) {
         // Less by what rounding added, so that two can't keep each other unsettled.
-        let unsettled_ms = u64::from(message.unsettled_ms.saturating_sub(UNSETTLED_UNIT_MS));
+        let unsettled_ms = u64::from(message.settle_remaining_ms.saturating_sub(SETTLE_UNIT_MS));
         if unsettled_ms > 0 {
             let now_ms = self.control.now_ms();
             let clock_ms = self.lapse_clock_ms();
