--- a/benches/hot_paths.rs
+++ b/benches/hot_paths.rs
@@ -9,9 +9,9 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use endivedyke::{
-    Admission, Begin, ClusterKey, ConfigStore, Delta, Envelope, EnvelopeKey, EnvelopeKind,
-    HOSTS_HEADER, Handed, HostList, HostRole, KeyRing, Ledger, LoadBoard, LoadReport, Opener,
-    Purpose, SealedId, ServiceId, Suspicion, TABLE_HEADER, Table, TableDiff, candidates, steer,
+    Admission, BeginOutcome, ClusterKey, ConfigStore, Delta, Envelope, EnvelopeKey, EnvelopeKind,
+    HOSTS_HEADER, HostList, HostRole, KeyRing, Ledger, LoadReport, Opener, OpenerSource, PeerLoads,
+    Purpose, SealedId, ServiceId, Suspicion, TABLE_HEADER, Table, TableDiff, place_opener, steer,
 };
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -140,7 +140,7 @@
             |b, table| {
                 b.iter(|| {
                     hash = hash.wrapping_add(0x9e37_79b9_7f4a_7c15);
-                    candidates(table, hash, |_| true).map(|chosen| chosen.first.host)
+                    place_opener(table, hash, |_| true).map(|placement| placement.owner.host)
                 });
             },
         );
@@ -162,7 +162,7 @@
     let mut group = criterion.benchmark_group("admission");
     for targets in [3, 12, 100, 1_000] {
         let table = table(targets);
-        let mut board = LoadBoard::default();
+        let mut peer_loads = PeerLoads::default();
         for index in 1..targets {
             let report = LoadReport {
                 host: host(index + 1),
@@ -174,7 +174,7 @@
                 busy_centislots: 100,
                 share_permille: 1_000,
             };
-            board.merge(report, 20_000);
+            peer_loads.merge(report, 20_000);
         }
         let mut admission = Admission::warm(host(1));
         (0..1_999).for_each(|_| admission.flow_opened());
@@ -183,10 +183,11 @@
             bencher.iter(|| {
                 let opener = Opener {
                     hash: random.random(),
-                    handed: Handed::ByBalancer,
+                    source: OpenerSource::Balancer,
                     health_permille: 1_000,
                 };
-                let decision = admission.decide(&opener, &table, &mut board, 20_000, &mut random);
+                let decision =
+                    admission.decide(&opener, &table, &mut peer_loads, 20_000, &mut random);
                 admission.prune(u64::MAX);
                 decision
             });
@@ -201,8 +202,8 @@
         let mut ledger = Ledger::new(keys as usize);
         let mut naive: HashMap<u32, u64> = HashMap::new();
         for _ in 0..keys {
-            let counter = ledger.issue().expect("a ticket");
-            assert_eq!(ledger.begin(counter, 1), Begin::Run);
+            let counter = ledger.issue_ticket().expect("a ticket");
+            assert_eq!(ledger.begin(counter, 1), BeginOutcome::Run);
             naive.insert(counter, 1);
         }
         let mut random = StdRng::seed_from_u64(1);
--- a/lab/src/imbalance.rs
+++ b/lab/src/imbalance.rs
@@ -1,6 +1,6 @@
 //! The experiment on imbalance: both deployments, steady and through each change, each policy.
 
-use endivedyke::{Table, candidates, name_hash};
+use endivedyke::{Table, name_hash, place_opener};
 
 use crate::service_model::{ModelLoad, Policy, ServiceModel};
 
@@ -67,7 +67,7 @@
 
 /// Returns the part of openers whose owner differs between two tables.
 fn moved(before: &Table, after: &Table) -> f64 {
-    let owner = |table, hash| candidates(table, hash, |_| true).map(|c| c.first.target.clone());
+    let owner = |table, hash| place_opener(table, hash, |_| true).map(|c| c.owner.target.clone());
     let sample = (0..SAMPLED_OPENERS).map(|index| name_hash(&index.to_string()));
     let moved = sample
         .filter(|hash| owner(before, *hash) != owner(after, *hash))
--- a/lab/src/service_model.rs
+++ b/lab/src/service_model.rs
@@ -1,15 +1,15 @@
 //! One service's agents in a deterministic run: the decision core under arrivals, reports and edits.
 //!
 //! It is no simulation of a cluster: no packets, no processes, one service. The real `Admission` and
-//! `LoadBoard` decide; arrivals, lifetimes and the choice of peers come from a seeded source.
+//! `PeerLoads` decide; arrivals, lifetimes and the choice of peers come from a seeded source.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::net::Ipv4Addr;
 
 use endivedyke::{
-    Admission, Decision, Handed, LoadBoard, LoadReport, Opener, Row, TABLE_HEADER, Table,
-    candidates,
+    Admission, Decision, LoadReport, Opener, OpenerSource, PeerLoads, Row, TABLE_HEADER, Table,
+    place_opener,
 };
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -42,7 +42,7 @@
 struct ModelAgent {
     host: Ipv4Addr,
     admission: Admission,
-    board: LoadBoard,
+    peer_loads: PeerLoads,
     sequence: u32,
     next_exchange_ms: u64,
     alive: bool,
@@ -82,7 +82,7 @@
         let agent = |index| ModelAgent {
             host: host(index),
             admission: Admission::warm(host(index)),
-            board: LoadBoard::default(),
+            peer_loads: PeerLoads::default(),
             sequence: 0,
             next_exchange_ms: random.random_range(0..load.exchange_ms),
             alive: true,
@@ -94,7 +94,7 @@
             agents: (0..weights.len()).map(agent).collect(),
             ends: BinaryHeap::new(),
             random,
-            now_ms: endivedyke::RAMP_MS,
+            now_ms: endivedyke::SLOW_START_MS,
             refused: 0,
             deflected: 0,
         }
@@ -107,7 +107,7 @@
             self.agents.push(ModelAgent {
                 host: host(index),
                 admission: Admission::new(host(index), self.now_ms),
-                board: LoadBoard::default(),
+                peer_loads: PeerLoads::default(),
                 sequence: 0,
                 next_exchange_ms: self.now_ms,
                 alive: true,
@@ -261,11 +261,11 @@
     fn open_flow(&mut self) {
         let opener_hash = self.random.random();
         let alive = |row: &Row| self.agents[index_of(row)].alive;
-        let Some(chosen) = candidates(&self.table, opener_hash, alive) else {
+        let Some(chosen) = place_opener(&self.table, opener_hash, alive) else {
             self.refused += 1;
             return;
         };
-        let (first, second) = (index_of(chosen.first), chosen.second.map(index_of));
+        let (first, second) = (index_of(chosen.owner), chosen.runner_up.map(index_of));
         let taken = match self.policy {
             Policy::Hash => Some(first),
             Policy::TwoChoices => Some(self.less_loaded(first, second)),
@@ -282,7 +282,10 @@
         let Some(second) = second else {
             return first;
         };
-        let Some(known) = agent.board.fresh(self.agents[second].host, self.now_ms) else {
+        let Some(known) = agent
+            .peer_loads
+            .fresh_load(self.agents[second].host, self.now_ms)
+        else {
             return first;
         };
         let own = u64::from(agent.admission.open_flows()) * u64::from(self.weight(second));
@@ -297,7 +300,7 @@
     }
 
     fn decide(&mut self, first: usize, opener_hash: u64) -> Option<usize> {
-        match self.decide_at(first, opener_hash, Handed::ByBalancer) {
+        match self.decide_at(first, opener_hash, OpenerSource::Balancer) {
             Decision::Accept => Some(first),
             Decision::Deflect(peer) => self.hand_on(first, peer, opener_hash),
             Decision::Refuse(_) | Decision::Return => None,
@@ -310,19 +313,19 @@
         if !self.agents[peer].alive {
             return None;
         }
-        if self.decide_at(peer, opener_hash, Handed::ByOwner) == Decision::Accept {
+        if self.decide_at(peer, opener_hash, OpenerSource::DeflectingOwner) == Decision::Accept {
             return Some(peer);
         }
         let host = self.agents[peer].host;
-        self.agents[first].board.returned_flow(host);
-        let returned = self.decide_at(first, opener_hash, Handed::Returned);
+        self.agents[first].peer_loads.record_returned_opener(host);
+        let returned = self.decide_at(first, opener_hash, OpenerSource::ReturningPeer);
         (returned == Decision::Accept).then_some(first)
     }
 
-    fn decide_at(&mut self, index: usize, opener_hash: u64, handed: Handed) -> Decision {
+    fn decide_at(&mut self, index: usize, opener_hash: u64, source: OpenerSource) -> Decision {
         let opener = Opener {
             hash: opener_hash,
-            handed,
+            source,
             health_permille: 1_000,
         };
         let agent = &mut self.agents[index];
@@ -330,7 +333,7 @@
         agent.admission.decide(
             &opener,
             &self.table,
-            &mut agent.board,
+            &mut agent.peer_loads,
             self.now_ms,
             &mut self.random,
         )
@@ -362,7 +365,7 @@
         let now_ms = self.now_ms;
         let agent = &mut self.agents[index];
         agent.sequence += 1;
-        let mut reports = agent.board.reports(now_ms);
+        let mut reports = agent.peer_loads.fresh_reports(now_ms);
         reports.push(LoadReport {
             host: agent.host,
             incarnation: 1,
@@ -379,7 +382,7 @@
     fn merge(&mut self, index: usize, reports: &[LoadReport]) {
         let own = self.agents[index].host;
         for report in reports.iter().filter(|report| report.host != own) {
-            self.agents[index].board.merge(*report, self.now_ms);
+            self.agents[index].peer_loads.merge(*report, self.now_ms);
         }
     }
 }
--- a/src/controllers/control.rs
+++ b/src/controllers/control.rs
@@ -139,7 +139,7 @@
     /// A process that starts while the platform is silent has no host list; those that link to it
     /// are then the peers that it can ask.
     pub(crate) fn linked_by(&self, host: Ipv4Addr) {
-        self.suspicion.borrow_mut().answered(host);
+        self.suspicion.borrow_mut().record_answer(host);
         let mut linking = self.linking.borrow_mut();
         if linking.len() < MAX_LINKING_HOSTS
             && let Err(index) = linking.binary_search(&host)
@@ -242,7 +242,7 @@
             "tables": tables,
             "hosts": store.hosts(),
             "links": self.peers.linked(),
-            "suspected": self.suspicion.borrow().suspected(now_ms),
+            "suspected": self.suspicion.borrow().suspected_hosts(now_ms),
         })
     }
 }
--- a/src/controllers/node_server.rs
+++ b/src/controllers/node_server.rs
@@ -13,7 +13,7 @@
 use crate::config::service_id::ServiceId;
 use crate::controllers::control::Control;
 use crate::controllers::relay;
-use crate::decisions::load_board::LoadReport;
+use crate::decisions::peer_loads::LoadReport;
 use crate::error::Result;
 use crate::links::link;
 use crate::links::link_auth::{self, LinkSide};
@@ -263,7 +263,7 @@
         offer: Box::new(|_, _| {
             OfferReply::Refused(crate::decisions::slots::Refusal {
                 code: Code::NoTarget,
-                retry_after_ms: crate::decisions::slots::MIN_RETRY_MS,
+                retry_after_ms: crate::decisions::slots::MIN_RETRY_AFTER_MS,
             })
         }),
         run: Box::new(|_, _| Box::pin(async { refused_answer(Code::NoTarget, 0) })),
--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -11,20 +11,20 @@
 use crate::code::Code;
 use crate::config::table::{Row, Table};
 use crate::decisions::flow_history::FlowHistory;
-use crate::decisions::load_board::{FULL_SHARE_PERMILLE, KnownLoad, LoadBoard};
+use crate::decisions::peer_loads::{FULL_SHARE_PERMILLE, PeerLoad, PeerLoads};
 use crate::decisions::placement;
 
 /// How long a decision about an opener is remembered, in milliseconds: longer than a handshake.
-pub(crate) const DECISION_MS: u64 = 10_000;
+pub(crate) const DECISION_LIFETIME_MS: u64 = 10_000;
 /// How long a peer may take to answer a deflected opener, in milliseconds: a caller that hears
 /// nothing repeats it after about a second (RFC 9002 section 6.2).
 const DEFLECTION_ANSWER_MS: u64 = 600;
 /// The greatest number of remembered decisions of a target.
 pub(crate) const MAX_DECISIONS: usize = 65_536;
 /// How long a target takes to reach its full share after a start, in milliseconds.
-pub const RAMP_MS: u64 = 10_000;
+pub const SLOW_START_MS: u64 = 10_000;
 /// The share of a target that has just started, in thousandths.
-pub(crate) const RAMP_START_PERMILLE: u16 = 100;
+pub(crate) const SLOW_START_PERMILLE: u16 = 100;
 
 /// What an agent does with an opener.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -110,9 +110,9 @@
         if self.draining {
             return 0;
         }
-        let age_ms = now_ms.saturating_sub(self.started_ms).min(RAMP_MS);
-        let gained = u64::from(FULL_SHARE_PERMILLE - RAMP_START_PERMILLE) * age_ms / RAMP_MS;
-        let ramp = RAMP_START_PERMILLE + gained as u16;
+        let age_ms = now_ms.saturating_sub(self.started_ms).min(SLOW_START_MS);
+        let gained = u64::from(FULL_SHARE_PERMILLE - SLOW_START_PERMILLE) * age_ms / SLOW_START_MS;
+        let ramp = SLOW_START_PERMILLE + gained as u16;
         ramp.min(health_permille)
     }
 
@@ -124,33 +124,34 @@
         &mut self,
         opener: &Opener,
         table: &Table,
-        board: &mut LoadBoard,
+        peer_loads: &mut PeerLoads,
         now_ms: u64,
         random: &mut impl Rng,
     ) -> Decision {
         let mut opener = *opener;
         if let Some(host) = self.unanswered_deflection(&opener, now_ms) {
-            board.returned_flow(host);
-            opener.handed = Handed::Returned;
+            peer_loads.record_returned_opener(host);
+            opener.source = OpenerSource::ReturningPeer;
         }
         let opener = &opener;
-        let recalled = self.recall(opener.hash, now_ms);
-        if let Some(decision) = recalled.filter(|_| opener.handed != Handed::Returned) {
+        let remembered = self.remembered_decision(opener.hash, now_ms);
+        if let Some(decision) = remembered.filter(|_| opener.source != OpenerSource::ReturningPeer)
+        {
             return decision;
         }
-        if opener.handed == Handed::ByBalancer {
+        if opener.source == OpenerSource::Balancer {
             self.history.owned(now_ms);
         }
-        let decision = self.choose(opener, table, board, now_ms, random);
+        let decision = self.choose(opener, table, peer_loads, now_ms, random);
         if let Decision::Deflect(host) = decision {
-            board.sent_flow(host);
+            peer_loads.record_deflected_flow(host);
         }
         self.remember(opener.hash, decision, now_ms);
         decision
     }
 
     /// Returns the remembered decision about an opener.
-    pub fn recall(&self, opener_hash: u64, now_ms: u64) -> Option<Decision> {
+    pub fn remembered_decision(&self, opener_hash: u64, now_ms: u64) -> Option<Decision> {
         let index = self.position(opener_hash).ok()?;
         let remembered = &self.remembered[index];
         (remembered.expires_ms > now_ms).then_some(remembered.decision)
@@ -160,7 +161,7 @@
     /// repeats it can't have had an answer from there.
     fn unanswered_deflection(&self, opener: &Opener, now_ms: u64) -> Option<Ipv4Addr> {
         let remembered = &self.remembered[self.position(opener.hash).ok()?];
-        let decided_ms = remembered.expires_ms.saturating_sub(DECISION_MS);
+        let decided_ms = remembered.expires_ms.saturating_sub(DECISION_LIFETIME_MS);
         match remembered.decision {
             Decision::Deflect(host) if now_ms > decided_ms + DEFLECTION_ANSWER_MS => Some(host),
             _ => None,
@@ -185,7 +186,7 @@
         let entry = Remembered {
             opener_hash,
             decision,
-            expires_ms: now_ms + DECISION_MS,
+            expires_ms: now_ms + DECISION_LIFETIME_MS,
         };
         match self.position(opener_hash) {
             Ok(index) => self.remembered[index] = entry,
@@ -198,30 +199,30 @@
         &self,
         opener: &Opener,
         table: &Table,
-        board: &LoadBoard,
+        peer_loads: &PeerLoads,
         now_ms: u64,
         random: &mut impl Rng,
     ) -> Decision {
         let row = table.row_on(self.host);
         let fits = row.is_some_and(|row| self.has_room(row));
-        match opener.handed {
-            Handed::ByBalancer => {}
-            Handed::ByOwner => {
+        match opener.source {
+            OpenerSource::Balancer => {}
+            OpenerSource::DeflectingOwner => {
                 return if fits {
                     Decision::Accept
                 } else {
                     Decision::Return
                 };
             }
-            Handed::Returned => return accept_or(fits, Code::NoTarget),
+            OpenerSource::ReturningPeer => return accept_or(fits, Code::NoTarget),
         }
-        let peers = self.peers(table, board, now_ms);
+        let peers = self.peers(table, peer_loads, now_ms);
         let own = row.filter(|_| fits).map(|row| {
             let share_permille = self.share_permille(opener.health_permille, now_ms);
             Standing::new(row, self.open_flows, share_permille)
         });
         match own.filter(|own| own.weight > 0.0) {
-            Some(own) if !self.corrects(peers.excess(&own), board, now_ms, random) => {
+            Some(own) if !self.corrects(peers.excess(&own), peer_loads, now_ms, random) => {
                 Decision::Accept
             }
             Some(own) => match peers.draw_below_level(&own, random) {
@@ -230,7 +231,7 @@
             },
             None => match peers
                 .lowest()
-                .or_else(|| self.unknown_peer(opener, table, board, now_ms))
+                .or_else(|| self.unknown_peer(opener, table, peer_loads, now_ms))
             {
                 Some(host) => Decision::Deflect(host),
                 None => accept_or(fits, Code::NoTarget),
@@ -239,11 +240,11 @@
     }
 
     /// Returns the peers that take flows now, as they probably stand by now.
-    fn peers(&self, table: &Table, board: &LoadBoard, now_ms: u64) -> Peers {
+    fn peers(&self, table: &Table, peer_loads: &PeerLoads, now_ms: u64) -> Peers {
         let own_weight = table.row_on(self.host).map_or(0, |row| row.weight);
         let others = table.rows.iter().filter(|row| row.host != self.host);
         let standing = |row: &Row| {
-            let known = board.fresh(row.host, now_ms)?;
+            let known = peer_loads.fresh_load(row.host, now_ms)?;
             self.peer_standing(row, &known, own_weight)
         };
         Peers(others.filter_map(standing).collect())
@@ -254,12 +255,12 @@
     /// When all flows of a site open anew within seconds, reports are old before they arrive, and
     /// every peer would seem to stand below. But owners are drawn evenly, so that a peer has grown
     /// as this agent would have; see docs/DESIGN.md, "Deflection".
-    fn peer_standing(&self, row: &Row, known: &KnownLoad, own_weight: u32) -> Option<Standing> {
+    fn peer_standing(&self, row: &Row, known: &PeerLoad, own_weight: u32) -> Option<Standing> {
         let report = &known.report;
         let mut standing = Standing::new(row, report.open_flows, report.share_permille);
         if own_weight > 0 {
             let ratio = f64::from(row.weight) / f64::from(own_weight);
-            let grown = self.history.growth_since(known.counted_ms) * ratio;
+            let grown = self.history.growth_since(known.measured_ms) * ratio;
             standing.open_flows = (standing.open_flows + grown).max(0.0);
         }
         let room = standing.open_flows < f64::from(row.connections);
@@ -270,8 +271,14 @@
     ///
     /// While reports are old, every opener that arrives would see the same excess and correct it
     /// again. So the openers expected until the next reports share the correction among them.
-    fn corrects(&self, excess: f64, board: &LoadBoard, now_ms: u64, random: &mut impl Rng) -> bool {
-        let expected = self.history.owned_per_ms(now_ms) * board.refresh_ms(now_ms);
+    fn corrects(
+        &self,
+        excess: f64,
+        peer_loads: &PeerLoads,
+        now_ms: u64,
+        random: &mut impl Rng,
+    ) -> bool {
+        let expected = self.history.owned_per_ms(now_ms) * peer_loads.mean_report_age_ms(now_ms);
         excess > 0.0 && random.random_range(0.0..1.0) * expected < excess
     }
 
@@ -280,12 +287,13 @@
         &self,
         opener: &Opener,
         table: &Table,
-        board: &LoadBoard,
+        peer_loads: &PeerLoads,
         now_ms: u64,
     ) -> Option<Ipv4Addr> {
-        let unknown = |row: &Row| row.host != self.host && board.fresh(row.host, now_ms).is_none();
-        let chosen = placement::candidates(table, opener.hash, unknown)?;
-        Some(chosen.first.host)
+        let unknown =
+            |row: &Row| row.host != self.host && peer_loads.fresh_load(row.host, now_ms).is_none();
+        let chosen = placement::place_opener(table, opener.hash, unknown)?;
+        Some(chosen.owner.host)
     }
 
     fn has_room(&self, row: &Row) -> bool {
@@ -295,13 +303,13 @@
 
 /// Who handed an opener to this agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Handed {
+pub enum OpenerSource {
     /// A balancer: this agent is its owner.
-    ByBalancer,
+    Balancer,
     /// The owner, which hands it to a peer.
-    ByOwner,
+    DeflectingOwner,
     /// The peer to which this agent, the owner, had handed it.
-    Returned,
+    ReturningPeer,
 }
 
 /// An opener as admission sees it.
@@ -310,7 +318,7 @@
     /// The hash of the connection id that the caller chose.
     pub hash: u64,
     /// Who handed it over.
-    pub handed: Handed,
+    pub source: OpenerSource,
     /// What the outcomes of the target's requests allow it to take, in thousandths.
     pub health_permille: u16,
 }
--- a/src/decisions/early_openers.rs
+++ b/src/decisions/early_openers.rs
@@ -46,9 +46,9 @@
     }
 
     /// Keeps a copy of an opener in place of an earlier one; says whether there was room.
-    pub fn keep(&mut self, flow: K, copy: u32, packet: T, now_ms: u64) -> bool {
+    pub fn insert(&mut self, flow: K, copy: u32, packet: T, now_ms: u64) -> bool {
         if self.kept.len() >= MAX_KEPT {
-            self.expire(now_ms);
+            self.remove_expired(now_ms);
         }
         let found = self.kept.binary_search_by(|kept| kept.flow.cmp(&flow));
         let opener = Kept {
@@ -67,7 +67,7 @@
     }
 
     /// Forgets copies for which their callers no longer wait.
-    pub fn expire(&mut self, now_ms: u64) {
+    pub fn remove_expired(&mut self, now_ms: u64) {
         self.kept.retain(|opener| opener.is_awaited(now_ms));
     }
 
@@ -78,7 +78,7 @@
         now_ms: u64,
         can_be_offered: impl Fn(&T) -> bool,
     ) -> Vec<EarlyOpener<T>> {
-        self.expire(now_ms);
+        self.remove_expired(now_ms);
         let taken = self
             .kept
             .extract_if(.., |opener| can_be_offered(&opener.packet));
--- a/src/decisions/ledger.rs
+++ b/src/decisions/ledger.rs
@@ -31,11 +31,11 @@
 
 /// What the ledger says to a request that wants to run.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Begin {
+pub enum BeginOutcome {
     /// It is recorded as running and may be handed to the backend server, once.
     Run,
     /// It does not run; the code says why, and whether it ran before.
-    Stop(Code),
+    Reject(Code),
     /// It ran before, and this was the answer.
     Answered(KeptAnswer),
 }
@@ -81,7 +81,7 @@
     }
 
     /// Returns the counter of a new ticket, or `None` when the incarnation has used all of them.
-    pub fn issue(&mut self) -> Option<u32> {
+    pub fn issue_ticket(&mut self) -> Option<u32> {
         let counter = self.next_counter;
         self.next_counter = counter.checked_add(1)?;
         Some(counter)
@@ -103,11 +103,11 @@
     }
 
     /// Asks whether the request with this ticket and `digest` may run now.
-    pub fn begin(&mut self, counter: u32, digest: u64) -> Begin {
+    pub fn begin(&mut self, counter: u32, digest: u64) -> BeginOutcome {
         match self.position(counter) {
             Ok(index) => begin_again(&self.entries[index], digest),
-            Err(_) if counter < self.floor => Begin::Stop(Code::TicketExpired),
-            Err(_) if counter >= self.next_counter => Begin::Stop(Code::BadRequest),
+            Err(_) if counter < self.floor => BeginOutcome::Reject(Code::TicketExpired),
+            Err(_) if counter >= self.next_counter => BeginOutcome::Reject(Code::BadRequest),
             Err(index) => {
                 let entry = Entry {
                     counter,
@@ -116,23 +116,23 @@
                 };
                 self.entries.insert(index, entry);
                 self.trim();
-                Begin::Run
+                BeginOutcome::Run
             }
         }
     }
 
     /// Records that the request was not run and from now on never will be.
-    pub fn refuse(&mut self, counter: u32) {
+    pub fn record_refusal(&mut self, counter: u32) {
         self.set(counter, State::Refused);
     }
 
     /// Records that nobody can know whether the request ran.
-    pub fn lose(&mut self, counter: u32, code: Code) {
+    pub fn record_unknown_outcome(&mut self, counter: u32, code: Code) {
         self.set(counter, State::Unknown(code));
     }
 
     /// Records the answer of a request that ran.
-    pub fn finish(&mut self, counter: u32, answer: Option<KeptAnswer>) {
+    pub fn record_answer(&mut self, counter: u32, answer: Option<KeptAnswer>) {
         let kept = answer.filter(|answer| answer.body.len() <= MAX_KEPT_ANSWER_BYTES);
         let state = match kept {
             Some(answer) if self.position(counter).is_ok() => {
@@ -208,15 +208,15 @@
     }
 }
 
-fn begin_again(entry: &Entry, digest: u64) -> Begin {
+fn begin_again(entry: &Entry, digest: u64) -> BeginOutcome {
     if entry.digest != digest {
-        return Begin::Stop(Code::TicketMismatch);
+        return BeginOutcome::Reject(Code::TicketMismatch);
     }
     match &entry.state {
-        State::Running => Begin::Stop(Code::InProgress),
-        State::Refused => Begin::Stop(Code::TicketSpent),
-        State::Unknown(code) => Begin::Stop(*code),
-        State::Answered(answer) => Begin::Answered(answer.clone()),
-        State::AnsweredLarge => Begin::Stop(Code::AnswerNotKept),
+        State::Running => BeginOutcome::Reject(Code::InProgress),
+        State::Refused => BeginOutcome::Reject(Code::TicketSpent),
+        State::Unknown(code) => BeginOutcome::Reject(*code),
+        State::Answered(answer) => BeginOutcome::Answered(answer.clone()),
+        State::AnsweredLarge => BeginOutcome::Reject(Code::AnswerNotKept),
     }
 }
--- a/src/decisions/move_share.rs
+++ b/src/decisions/moved_fraction.rs
@@ -16,7 +16,7 @@
 
 /// One target's mean busy slots beside its weight.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct BusyStanding {
+pub struct SlotLoad {
     /// The mean number of busy slots of the last seconds.
     pub busy_slots: f64,
     /// The weight that the target takes now.
@@ -25,12 +25,12 @@
 
 /// The part of the requests that moves, adjusted once a second.
 #[derive(Debug, Default)]
-pub struct MoveShare {
+pub struct MovedFraction {
     busy_slots: f64,
     fraction: f64,
 }
 
-impl MoveShare {
+impl MovedFraction {
     /// Takes the mean number of busy slots of the last second.
     pub fn observe(&mut self, busy_slots: f64) {
         self.busy_slots += (busy_slots - self.busy_slots) * WEIGHT_OF_NEW;
@@ -49,7 +49,7 @@
     /// Moves more while this target stands above the level of all, less while it stands below.
     ///
     /// What moves is already missing here, so the error is added up instead of applied anew.
-    pub fn adjust(&mut self, weight: f64, peers: &[BusyStanding]) {
+    pub fn adjust(&mut self, weight: f64, peers: &[SlotLoad]) {
         let level = level(self.busy_slots, weight, peers) * weight;
         if self.busy_slots < MIN_BUSY_SLOTS || peers.is_empty() {
             self.fraction = 0.0;
@@ -60,15 +60,15 @@
     }
 
     /// Decides whether the next request moves.
-    pub fn moves(&self, random: &mut impl Rng) -> bool {
+    pub fn should_move(&self, random: &mut impl Rng) -> bool {
         self.fraction > 0.0 && random.random_range(0.0..1.0) < self.fraction
     }
 
     /// Draws the peer that takes it, each in proportion to what it lacks; returns its index.
-    pub fn draw(
+    pub fn pick_peer(
         &self,
         weight: f64,
-        peers: &[BusyStanding],
+        peers: &[SlotLoad],
         random: &mut impl Rng,
     ) -> Option<usize> {
         let level = level(self.busy_slots, weight, peers);
@@ -88,7 +88,7 @@
     }
 }
 
-fn level(busy_slots: f64, weight: f64, peers: &[BusyStanding]) -> f64 {
+fn level(busy_slots: f64, weight: f64, peers: &[SlotLoad]) -> f64 {
     let busy: f64 = peers.iter().map(|peer| peer.busy_slots).sum();
     let weights: f64 = peers.iter().map(|peer| peer.weight).sum();
     (busy + busy_slots) / (weights + weight).max(f64::MIN_POSITIVE)
--- a/src/decisions/offers.rs
+++ b/src/decisions/offers.rs
@@ -10,9 +10,9 @@
 
 /// How many agents of the balancer's availability zone may be offered an opener: as many as are asked at most, so that
 /// one that told of room is among them.
-pub(crate) const MAX_NEAR: usize = MAX_OFFERS;
+pub(crate) const MAX_SAME_ZONE: usize = MAX_OFFERS;
 /// How many agents of other availability zones it may be offered to.
-pub(crate) const MAX_FAR: usize = 2;
+pub(crate) const MAX_OTHER_ZONES: usize = 2;
 /// How many agents an opener is offered to before it is assigned: of a few busy ones one mostly has a slot free, and
 /// each further one costs the caller a round trip.
 const MAX_OFFERS: usize = 5;
@@ -23,7 +23,7 @@
 /// that much from their mean.
 const HOPED: f64 = 0.5;
 /// The wait that an agent tells which takes no new flow now.
-pub const TAKES_NONE_MS: u16 = u16::MAX;
+pub const TAKES_NONE_WAIT_MS: u16 = u16::MAX;
 
 /// An agent to which an opener may go.
 #[derive(Debug, Clone, Copy)]
@@ -31,11 +31,11 @@
     /// Its host.
     pub host: Ipv4Addr,
     /// Whether it stands in the balancer's availability zone.
-    pub is_near: bool,
+    pub is_same_zone: bool,
     /// For how long the opener would wait there, in milliseconds, where that is known.
     pub wait_ms: Option<u16>,
     /// The usual wait in its part of the site, in milliseconds.
-    pub level_ms: f64,
+    pub mean_wait_ms: f64,
     /// Whether the opener was offered to it already.
     pub was_offered: bool,
 }
@@ -50,7 +50,7 @@
 }
 
 /// Chooses among the candidates, which stand in the order of the flow.
-pub fn choose(candidates: &[Candidate]) -> Option<Offer> {
+pub fn next_offer(candidates: &[Candidate]) -> Option<Offer> {
     let offers = candidates.iter().filter(|candidate| candidate.was_offered);
     let may_ask = offers.count() < MAX_OFFERS;
     let open = candidates.iter().filter(|candidate| !candidate.was_offered);
@@ -77,12 +77,12 @@
 impl Candidate {
     /// Returns what an opener is hoped to lose by going there, in milliseconds.
     fn hoped_ms(&self) -> f64 {
-        let way_ms = if self.is_near { 0.0 } else { FAR_MS };
-        let wait_ms = self.wait_ms.map_or(HOPED * self.level_ms, f64::from);
+        let way_ms = if self.is_same_zone { 0.0 } else { FAR_MS };
+        let wait_ms = self.wait_ms.map_or(HOPED * self.mean_wait_ms, f64::from);
         wait_ms + way_ms
     }
 
     fn offered(&self) -> Offer {
-        Offer::MayDecline(self.host, self.level_ms)
+        Offer::MayDecline(self.host, self.mean_wait_ms)
     }
 }
--- a/src/decisions/load_board.rs
+++ b/src/decisions/peer_loads.rs
@@ -10,7 +10,7 @@
 pub const REPORT_MAX_AGE_MS: u64 = 60_000;
 /// How long a report that no longer counts is remembered, so that peers which pass it on late can't
 /// revive it, in milliseconds.
-pub(crate) const REPORT_FORGET_MS: u64 = 300_000;
+pub(crate) const REPORT_RETENTION_MS: u64 = 300_000;
 
 /// A hundredth of a second, in milliseconds.
 const CS_MS: u64 = 10;
@@ -39,32 +39,32 @@
 
 /// A report with the time at which its agent counted.
 #[derive(Debug, Clone, Copy)]
-pub struct KnownLoad {
+pub struct PeerLoad {
     /// The report, with the flows sent to the agent since.
     pub report: LoadReport,
     /// When the agent counted, by this process's clock, in milliseconds.
-    pub counted_ms: u64,
+    pub measured_ms: u64,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Entry {
     report: LoadReport,
-    counted_ms: u64,
+    measured_ms: u64,
     sent_flows: u32,
 }
 
 /// The newest report of each peer; older ones that arrive late are passed over.
 #[derive(Debug, Default)]
-pub struct LoadBoard {
+pub struct PeerLoads {
     entries: Vec<Entry>,
 }
 
-impl LoadBoard {
+impl PeerLoads {
     /// Takes a report if it is newer than the one held, and says whether it was.
     pub fn merge(&mut self, report: LoadReport, now_ms: u64) -> bool {
         let entry = Entry {
             report,
-            counted_ms: now_ms.saturating_sub(u64::from(report.age_cs) * CS_MS),
+            measured_ms: now_ms.saturating_sub(u64::from(report.age_cs) * CS_MS),
             sent_flows: 0,
         };
         match self.position(report.host) {
@@ -82,48 +82,48 @@
     }
 
     /// Notes a flow handed to a peer, which its report can't show yet.
-    pub fn sent_flow(&mut self, host: Ipv4Addr) {
+    pub fn record_deflected_flow(&mut self, host: Ipv4Addr) {
         if let Ok(index) = self.position(host) {
             self.entries[index].sent_flows += 1;
         }
     }
 
     /// Notes that a peer returned an opener: it takes none until it reports anew.
-    pub fn returned_flow(&mut self, host: Ipv4Addr) {
+    pub fn record_returned_opener(&mut self, host: Ipv4Addr) {
         if let Ok(index) = self.position(host) {
             self.entries[index].report.share_permille = 0;
         }
     }
 
     /// Returns what is known of a peer's load, if it is fresh.
-    pub fn fresh(&self, host: Ipv4Addr, now_ms: u64) -> Option<KnownLoad> {
+    pub fn fresh_load(&self, host: Ipv4Addr, now_ms: u64) -> Option<PeerLoad> {
         let index = self.position(host).ok()?;
         let entry = &self.entries[index];
-        if now_ms.saturating_sub(entry.counted_ms) > REPORT_MAX_AGE_MS {
+        if now_ms.saturating_sub(entry.measured_ms) > REPORT_MAX_AGE_MS {
             return None;
         }
         let mut report = entry.report;
         report.open_flows += entry.sent_flows;
-        Some(KnownLoad {
+        Some(PeerLoad {
             report,
-            counted_ms: entry.counted_ms,
+            measured_ms: entry.measured_ms,
         })
     }
 
     /// Returns about how long it takes until reports are new, in milliseconds: the mean
     /// age of those that count now.
-    pub fn refresh_ms(&self, now_ms: u64) -> f64 {
+    pub fn mean_report_age_ms(&self, now_ms: u64) -> f64 {
         let ages = self
             .entries
             .iter()
-            .map(|entry| now_ms.saturating_sub(entry.counted_ms));
+            .map(|entry| now_ms.saturating_sub(entry.measured_ms));
         let fresh: Vec<u64> = ages.filter(|age_ms| *age_ms <= REPORT_MAX_AGE_MS).collect();
         fresh.iter().sum::<u64>() as f64 / fresh.len().max(1) as f64
     }
 
     /// Returns all fresh reports with their age, to pass on.
-    pub fn reports(&self, now_ms: u64) -> Vec<LoadReport> {
-        let age_ms = |entry: &Entry| now_ms.saturating_sub(entry.counted_ms);
+    pub fn fresh_reports(&self, now_ms: u64) -> Vec<LoadReport> {
+        let age_ms = |entry: &Entry| now_ms.saturating_sub(entry.measured_ms);
         let fresh = self
             .entries
             .iter()
@@ -136,7 +136,7 @@
     }
 
     /// Forgets a peer, as after a refused connection.
-    pub fn forget(&mut self, host: Ipv4Addr) {
+    pub fn remove(&mut self, host: Ipv4Addr) {
         if let Ok(index) = self.position(host) {
             self.entries.remove(index);
         }
@@ -145,11 +145,11 @@
     /// Drops reports so old that no peer passes them on any more.
     pub fn prune(&mut self, now_ms: u64) {
         self.entries
-            .retain(|entry| now_ms.saturating_sub(entry.counted_ms) <= REPORT_FORGET_MS);
+            .retain(|entry| now_ms.saturating_sub(entry.measured_ms) <= REPORT_RETENTION_MS);
     }
 
     /// Forgets everything, as after a pause.
-    pub fn forget_all(&mut self) {
+    pub fn clear(&mut self) {
         self.entries.clear();
     }
 
--- a/src/decisions/placement.rs
+++ b/src/decisions/placement.rs
@@ -11,21 +11,21 @@
 
 /// The owner of an opener and the target that takes it when the owner can't.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Candidates<'a> {
+pub struct Placement<'a> {
     /// The owner.
-    pub first: &'a Row,
+    pub owner: &'a Row,
     /// The runner-up, absent where the service has one target.
-    pub second: Option<&'a Row>,
+    pub runner_up: Option<&'a Row>,
 }
 
 /// Draws the two best targets for an opener among rows that `eligible` lets pass.
 ///
 /// Returns `None` where no eligible row has a weight above 0.
-pub fn candidates(
+pub fn place_opener(
     table: &Table,
     opener_hash: u64,
     eligible: impl Fn(&Row) -> bool,
-) -> Option<Candidates<'_>> {
+) -> Option<Placement<'_>> {
     let mut first: Option<(f64, &Row)> = None;
     let mut second: Option<(f64, &Row)> = None;
     for row in table.rows.iter().filter(|row| row.weight > 0) {
@@ -40,14 +40,14 @@
             second = scored;
         }
     }
-    first.map(|(_, first)| Candidates {
-        first,
-        second: second.map(|(_, row)| row),
+    first.map(|(_, first)| Placement {
+        owner: first,
+        runner_up: second.map(|(_, row)| row),
     })
 }
 
 /// Returns all rows that `eligible` lets pass, best first.
-pub fn ranked(table: &Table, opener_hash: u64, eligible: impl Fn(&Row) -> bool) -> Vec<&Row> {
+pub fn rank_targets(table: &Table, opener_hash: u64, eligible: impl Fn(&Row) -> bool) -> Vec<&Row> {
     ranked_by(table, |row| eligible(row).then(|| score(opener_hash, row)))
 }
 
@@ -55,7 +55,7 @@
 /// by its slots, best first.
 ///
 /// Open flows were placed in that order; one that takes no new flow now holds those of then.
-pub(crate) fn ranked_by_slots(
+pub(crate) fn rank_targets_by_slots(
     table: &Table,
     opener_hash: u64,
     eligible: impl Fn(&Row) -> bool,
@@ -75,7 +75,7 @@
 
 /// Returns the `count` hosts that come first for an opener where their targets weigh the same and
 /// [`Row::target_hash`] is the hash of the host.
-pub(crate) fn first_hosts(
+pub(crate) fn top_ranked_hosts(
     mut hosts: Vec<Ipv4Addr>,
     opener_hash: u64,
     count: usize,
--- a/src/decisions/known_waits.rs
+++ b/src/decisions/reported_waits.rs
@@ -2,7 +2,7 @@
 
 use std::net::Ipv4Addr;
 
-use crate::decisions::offers::TAKES_NONE_MS;
+use crate::decisions::offers::TAKES_NONE_WAIT_MS;
 
 /// The age at which such a word no longer counts, in milliseconds: about the service time of the users' requests,
 /// after which a slot is free that was not, or the other way round.
@@ -31,7 +31,7 @@
 
 /// The newest word of each agent, sorted by host, and the level of those nearby and of the others.
 #[derive(Debug, Default)]
-pub struct KnownWaits {
+pub struct ReportedWaits {
     waits: Vec<KnownWait>,
     near: Level,
     far: Level,
@@ -50,11 +50,11 @@
     }
 }
 
-impl KnownWaits {
+impl ReportedWaits {
     /// Notes what an agent said.
-    pub fn heard(&mut self, host: Ipv4Addr, is_near: bool, wait_ms: u16, now_ms: u64) {
-        if wait_ms != TAKES_NONE_MS {
-            self.level_mut(is_near).heard(wait_ms, now_ms);
+    pub fn record(&mut self, host: Ipv4Addr, is_same_zone: bool, wait_ms: u16, now_ms: u64) {
+        if wait_ms != TAKES_NONE_WAIT_MS {
+            self.level_mut(is_same_zone).heard(wait_ms, now_ms);
         }
         let known = KnownWait {
             host,
@@ -71,14 +71,14 @@
     /// Notes that a flow went to an agent, which its last word can't show.
     ///
     /// Without this a balancer would send all openers of a moment to the one agent that said that it has room.
-    pub fn sent(&mut self, host: Ipv4Addr) {
+    pub fn record_sent_flow(&mut self, host: Ipv4Addr) {
         if let Ok(index) = self.position(host) {
             self.waits[index].used = true;
         }
     }
 
     /// Returns the wait at an agent, in milliseconds, where that is known now.
-    pub fn get(&self, host: Ipv4Addr, now_ms: u64) -> Option<u16> {
+    pub fn wait_ms(&self, host: Ipv4Addr, now_ms: u64) -> Option<u16> {
         let known = self.waits[self.position(host).ok()?];
         let is_fresh = now_ms < known.heard_ms + FRESH_MS;
         let had_room = known.wait_ms == 0;
@@ -86,13 +86,13 @@
     }
 
     /// Returns the wait to expect at an agent that said nothing lately, in milliseconds.
-    pub fn level_ms(&self, is_near: bool, now_ms: u64) -> f64 {
-        let level = if is_near { &self.near } else { &self.far };
+    pub fn mean_wait_ms(&self, is_same_zone: bool, now_ms: u64) -> f64 {
+        let level = if is_same_zone { &self.near } else { &self.far };
         level.at(now_ms)
     }
 
-    fn level_mut(&mut self, is_near: bool) -> &mut Level {
-        if is_near {
+    fn level_mut(&mut self, is_same_zone: bool) -> &mut Level {
+        if is_same_zone {
             &mut self.near
         } else {
             &mut self.far
@@ -100,7 +100,7 @@
     }
 
     /// Forgets words that no longer count.
-    pub fn expire(&mut self, now_ms: u64) {
+    pub fn remove_expired(&mut self, now_ms: u64) {
         self.waits
             .retain(|known| now_ms < known.heard_ms + FRESH_MS);
     }
--- a/src/decisions/retry_budget.rs
+++ b/src/decisions/retry_budget.rs
@@ -23,7 +23,7 @@
     }
 
     /// Takes one retry, or says that there is none.
-    pub fn withdraw(&mut self) -> bool {
+    pub fn try_withdraw(&mut self) -> bool {
         let granted = self.balance >= 1.0;
         if granted {
             self.balance -= 1.0;
--- a/src/decisions/service_time.rs
+++ b/src/decisions/service_time.rs
@@ -1,7 +1,7 @@
 //! How long a request occupies a slot, and how long the next one waits for one.
 
 /// The service time assumed before the first request has ended, in milliseconds.
-pub(crate) const FIRST_SERVICE_MS: f64 = 20.0;
+pub(crate) const INITIAL_SERVICE_MS: f64 = 20.0;
 /// The weight of the newest request in the mean.
 const WEIGHT_OF_NEW: f64 = 0.1;
 
@@ -20,14 +20,14 @@
 impl Default for ServiceTime {
     fn default() -> Self {
         Self {
-            mean_ms: FIRST_SERVICE_MS,
+            mean_ms: INITIAL_SERVICE_MS,
         }
     }
 }
 
 impl ServiceTime {
     /// Notes for how long a request occupied a slot.
-    pub(crate) fn note(&mut self, took_ms: f64) {
+    pub(crate) fn record(&mut self, took_ms: f64) {
         self.mean_ms += (took_ms - self.mean_ms) * WEIGHT_OF_NEW;
     }
 
@@ -47,7 +47,7 @@
 /// The time from a request to its answer holds a wait of unknown length in the server's own queue. The time that
 /// all its slots together were occupied, for each answer, does not.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct SlotTime {
+pub struct ServiceTimeEstimator {
     service: ServiceTime,
     occupied: u32,
     slots: u32,
@@ -56,18 +56,18 @@
     at_ms: u64,
 }
 
-impl SlotTime {
+impl ServiceTimeEstimator {
     /// Notes how many requests are there from now on.
-    pub fn changed(&mut self, busy: u32, slots: u32, now_ms: u64) {
+    pub fn set_occupied(&mut self, busy: u32, slots: u32, now_ms: u64) {
         self.advance(now_ms);
         self.occupied = busy.min(slots);
         self.slots = slots;
     }
 
     /// Notes that a request was answered.
-    pub fn answered(&mut self, now_ms: u64) {
+    pub fn record_answer(&mut self, now_ms: u64) {
         self.advance(now_ms);
-        self.service.note(std::mem::take(&mut self.slot_ms));
+        self.service.record(std::mem::take(&mut self.slot_ms));
     }
 
     /// Returns the service time to expect, in milliseconds.
--- a/src/decisions/slot_queue.rs
+++ b/src/decisions/slot_queue.rs
@@ -6,7 +6,7 @@
 use futures_channel::oneshot;
 
 use crate::code::Code;
-use crate::decisions::slots::{Arrival, Refusal, RequestId, Slots};
+use crate::decisions::slots::{ArrivalOutcome, Refusal, RequestId, Slots};
 use crate::process::clock::Clock;
 
 type Grant = Result<SlotGuard, Refusal>;
@@ -42,7 +42,7 @@
         if self.ran {
             let took_ms = now_ms.saturating_sub(self.started_ms);
             self.queue.busy_ms.set(self.queue.busy_ms.get() + took_ms);
-            slots.finished(took_ms);
+            slots.finish(took_ms);
         } else {
             slots.release();
         }
@@ -114,16 +114,16 @@
             return None;
         }
         let arrival = self.arrive(self.new_id(), deadline_ms);
-        (arrival == Arrival::Run).then(|| self.guard())
+        (arrival == ArrivalOutcome::Run).then(|| self.guard())
     }
 
     /// Waits for a slot; a request that can't have one in time is refused at once.
     pub(crate) async fn acquire(self: &Rc<Self>, deadline_ms: u64) -> Grant {
         let id = self.new_id();
         match self.arrive(id, deadline_ms) {
-            Arrival::Run => Ok(self.guard()),
-            Arrival::Refused(refusal) => Err(refusal),
-            Arrival::Queued => {
+            ArrivalOutcome::Run => Ok(self.guard()),
+            ArrivalOutcome::Refused(refusal) => Err(refusal),
+            ArrivalOutcome::Queued => {
                 let (sender, receiver) = oneshot::channel();
                 self.waiting.borrow_mut().push((id, sender));
                 let _waiter = Waiter {
@@ -136,8 +136,8 @@
     }
 
     /// Answers waiting requests whose deadline has passed.
-    pub(crate) fn expire(&self) {
-        let expired = self.slots.borrow_mut().expire(self.clock.now_ms());
+    pub(crate) fn refuse_expired(&self) {
+        let expired = self.slots.borrow_mut().remove_expired(self.clock.now_ms());
         for id in expired {
             self.refuse_late(id);
         }
@@ -148,7 +148,7 @@
         RequestId(self.next_id.get())
     }
 
-    fn arrive(&self, id: RequestId, deadline_ms: u64) -> Arrival {
+    fn arrive(&self, id: RequestId, deadline_ms: u64) -> ArrivalOutcome {
         let now_ms = self.clock.now_ms();
         self.slots.borrow_mut().arrive(id, deadline_ms, now_ms)
     }
@@ -183,7 +183,7 @@
 
     fn grant_free(self: &Rc<Self>) {
         loop {
-            let next = self.slots.borrow_mut().next(self.clock.now_ms());
+            let next = self.slots.borrow_mut().dequeue(self.clock.now_ms());
             for id in next.expired {
                 self.refuse_late(id);
             }
--- a/src/decisions/slots.rs
+++ b/src/decisions/slots.rs
@@ -2,14 +2,14 @@
 
 use crate::code::Code;
 use crate::decisions::service_time::{self, ServiceTime};
-use crate::decisions::wait_queue::{Pace, WaitQueue, Waiting};
+use crate::decisions::wait_queue::{QueueParams, QueuedItem, WaitQueue};
 
 /// How many requests may wait for each slot.
 pub(crate) const QUEUE_PER_SLOT: u32 = 2;
 /// The shortest time after which a refused caller is told to come back, in milliseconds.
-pub(crate) const MIN_RETRY_MS: u32 = 50;
+pub(crate) const MIN_RETRY_AFTER_MS: u32 = 50;
 /// The longest such time, in milliseconds.
-pub(crate) const MAX_RETRY_MS: u32 = 30_000;
+pub(crate) const MAX_RETRY_AFTER_MS: u32 = 30_000;
 
 /// Identifies a request in its agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -17,7 +17,7 @@
 
 /// What happens to a request that arrives.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Arrival {
+pub enum ArrivalOutcome {
     /// It has a slot.
     Run,
     /// It waits.
@@ -37,7 +37,7 @@
 
 /// What becomes of waiting requests when a slot is free.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Next {
+pub struct Dequeued {
     /// The request that runs now.
     pub run: Option<RequestId>,
     /// Requests whose deadline can no longer be met; each is refused with [`Code::Deadline`].
@@ -59,7 +59,7 @@
         Self {
             slots,
             busy: 0,
-            queue: WaitQueue::of(usize::MAX),
+            queue: WaitQueue::with_max_len(usize::MAX),
             service: ServiceTime::default(),
         }
     }
@@ -98,13 +98,13 @@
     }
 
     /// Takes a request that must have ended by `deadline_ms`.
-    pub fn arrive(&mut self, id: RequestId, deadline_ms: u64, now_ms: u64) -> Arrival {
+    pub fn arrive(&mut self, id: RequestId, deadline_ms: u64, now_ms: u64) -> ArrivalOutcome {
         if deadline_ms <= now_ms {
             return self.refuse(Code::Deadline);
         }
         if self.has_free() {
             self.busy += 1;
-            return Arrival::Run;
+            return ArrivalOutcome::Run;
         }
         if self.queue.len() as u64 >= u64::from(self.slots) * u64::from(QUEUE_PER_SLOT) {
             return self.refuse(Code::Overloaded);
@@ -113,7 +113,7 @@
         if end_ms > deadline_ms as f64 {
             return self.refuse(Code::Deadline);
         }
-        let waiting = Waiting {
+        let waiting = QueuedItem {
             item: id,
             caller: id.0,
             priority: 0,
@@ -126,12 +126,12 @@
         if !self.queue.push(waiting) {
             return self.refuse(Code::Overloaded);
         }
-        Arrival::Queued
+        ArrivalOutcome::Queued
     }
 
     /// Frees a slot after a service time of `took_ms`.
-    pub fn finished(&mut self, took_ms: u64) {
-        self.service.note(took_ms as f64);
+    pub fn finish(&mut self, took_ms: u64) {
+        self.service.record(took_ms as f64);
         self.release();
     }
 
@@ -141,18 +141,18 @@
     }
 
     /// Gives a free slot to the waiting request that goes first of those that can still meet their deadlines.
-    pub fn next(&mut self, now_ms: u64) -> Next {
-        let mut next = Next::default();
+    pub fn dequeue(&mut self, now_ms: u64) -> Dequeued {
+        let mut next = Dequeued::default();
         if self.busy >= self.slots {
             return next;
         }
-        next.expired = self.expire(now_ms);
-        let pace = Pace {
+        next.expired = self.remove_expired(now_ms);
+        let params = QueueParams {
             service_ms: self.service_ms(),
             slots: self.slots,
             objective_ms: u32::MAX,
         };
-        if let Some(waiting) = self.queue.pop_if(&pace, now_ms, |_| true) {
+        if let Some(waiting) = self.queue.pop_if(&params, now_ms, |_| true) {
             self.busy += 1;
             next.run = Some(waiting.item);
         }
@@ -160,7 +160,7 @@
     }
 
     /// Removes waiting requests whose deadline has passed, so that they are answered at once.
-    pub fn expire(&mut self, now_ms: u64) -> Vec<RequestId> {
+    pub fn remove_expired(&mut self, now_ms: u64) -> Vec<RequestId> {
         let expired = self.queue.take_if(|waiting| waiting.deadline_ms <= now_ms);
         expired.into_iter().map(|waiting| waiting.item).collect()
     }
@@ -174,11 +174,11 @@
     pub fn retry_after_ms(&self) -> u32 {
         let backlog = self.queue.len() as f64 + f64::from(self.busy);
         let clear_ms = backlog * self.service_ms() / f64::from(self.slots.max(1));
-        (clear_ms as u32).clamp(MIN_RETRY_MS, MAX_RETRY_MS)
+        (clear_ms as u32).clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS)
     }
 
-    fn refuse(&self, code: Code) -> Arrival {
-        Arrival::Refused(Refusal {
+    fn refuse(&self, code: Code) -> ArrivalOutcome {
+        ArrivalOutcome::Refused(Refusal {
             code,
             retry_after_ms: self.retry_after_ms(),
         })
--- a/src/decisions/stall.rs
+++ b/src/decisions/stall.rs
@@ -9,7 +9,7 @@
 
 /// The shortest silence that counts as a stall, in milliseconds: callers who have time for one attempt wait for
 /// less than two seconds, and a process that is merely held up for some hundred answers again by then.
-pub const LEAST_SILENCE_MS: u64 = 1_000;
+pub const MIN_STALL_SILENCE_MS: u64 = 1_000;
 /// How many times the longest recent answer the silence must last: a queue that has just filled makes answers
 /// take two or three times as long.
 const SILENCE_FACTOR: f64 = 4.0;
@@ -25,19 +25,19 @@
 /// The part of the silence after which a further request must have come in: with none, whoever hands them over
 /// may be cut off as well as the backend server.
 const NEWS_PART: f64 = 0.5;
-/// The longest time between two looks at the clock, in milliseconds: a few periods of [`LOOK_MS`]. After a longer
+/// The longest time between two looks at the clock, in milliseconds: a few periods of [`STALL_CHECK_INTERVAL_MS`]. After a longer
 /// one the agent itself was paused, and answers may wait to be read.
-const MAX_GAP_MS: u64 = 3 * LOOK_MS;
+const MAX_GAP_MS: u64 = 3 * STALL_CHECK_INTERVAL_MS;
 /// How often an agent has to look, in milliseconds: well under the shortest silence.
-pub const LOOK_MS: u64 = 100;
+pub const STALL_CHECK_INTERVAL_MS: u64 = 100;
 /// How long a request without an answer is remembered, in milliseconds: as long as any caller waits.
 const FORGET_MS: u64 = 60_000;
 /// How long a request that waits at a backend server which stands still takes the place of a probe, in
 /// milliseconds: one that works answers within the least silence.
-pub const PROBE_MS: u64 = LEAST_SILENCE_MS;
+pub const STALL_PROBE_TIMEOUT_MS: u64 = MIN_STALL_SILENCE_MS;
 /// How long a backend server that answers again is filled up slowly, in milliseconds: it has to work off first
 /// what it took while it stood still.
-pub const RAMP_MS: u64 = 1_000;
+pub const RECOVERY_RAMP_MS: u64 = 1_000;
 
 /// A request that the backend server has not begun to answer.
 #[derive(Debug)]
@@ -59,7 +59,7 @@
 
 /// The requests at one backend server and the times of its answers, by flows that are named by `K`.
 #[derive(Debug)]
-pub struct StallWatch<K> {
+pub struct StallDetector<K> {
     /// Sorted by flow; each has one.
     waiting: Vec<Waiting<K>>,
     slowest_ms: f64,
@@ -73,7 +73,7 @@
     recovered_ms: Option<u64>,
 }
 
-impl<K: Copy + Ord> StallWatch<K> {
+impl<K: Copy + Ord> StallDetector<K> {
     /// Makes a watch of a backend server of which nothing is known.
     pub fn new() -> Self {
         Self {
@@ -92,7 +92,7 @@
     /// Notes data of a request that was handed over; `is_whole` where it may be all of it.
     ///
     /// A request of several packets may still be under way, so that it shows nothing; its answer does.
-    pub fn handed_over(&mut self, flow: K, is_whole: bool, now_ms: u64) {
+    pub fn record_request(&mut self, flow: K, is_whole: bool, now_ms: u64) {
         self.look_at_clock(now_ms);
         self.newest_ms = now_ms;
         match self.position(flow) {
@@ -114,13 +114,13 @@
     /// Notes that a request came in which waits for room before it is handed over.
     ///
     /// It shows that whoever hands requests over is not cut off, and nothing of the backend server.
-    pub fn came_in(&mut self, now_ms: u64) {
+    pub fn record_arrival(&mut self, now_ms: u64) {
         self.look_at_clock(now_ms);
         self.newest_ms = now_ms;
     }
 
     /// Notes that a request no longer waits: it was refused or failed, or its caller gave it up.
-    pub fn withdrawn(&mut self, flow: K) {
+    pub fn remove_request(&mut self, flow: K) {
         if let Ok(index) = self.position(flow) {
             self.waiting.remove(index);
         }
@@ -129,7 +129,7 @@
     /// Notes an answer on a flow, or a part of one, which the backend server had to work for.
     ///
     /// Returns for how long it had stood still, in milliseconds, if it did.
-    pub fn served(&mut self, flow: K, now_ms: u64) -> Option<u64> {
+    pub fn record_answer(&mut self, flow: K, now_ms: u64) -> Option<u64> {
         self.look_at_clock(now_ms);
         if let Ok(index) = self.position(flow) {
             let request = self.waiting.remove(index);
@@ -142,7 +142,7 @@
     }
 
     /// Forgets everything: another process answers from now on.
-    pub fn forget(&mut self) {
+    pub fn reset(&mut self) {
         *self = Self {
             looked_ms: self.looked_ms,
             measured_from_ms: self.looked_ms,
@@ -150,8 +150,8 @@
         };
     }
 
-    /// Looks whether the backend server stands still, and says so once; to be called each [`LOOK_MS`].
-    pub fn look(&mut self, slots: u32, now_ms: u64) -> Option<Stall> {
+    /// Looks whether the backend server stands still, and says so once; to be called each [`STALL_CHECK_INTERVAL_MS`].
+    pub fn check(&mut self, slots: u32, now_ms: u64) -> Option<Stall> {
         self.look_at_clock(now_ms);
         self.waiting
             .retain(|request| now_ms < request.since_ms + FORGET_MS);
@@ -193,19 +193,19 @@
     /// Its answer shows that it works again, and so does that of any other one that waits there: each costs its
     /// caller a timeout, and one at a time shows as much as many.
     pub fn may_probe(&self, now_ms: u64) -> bool {
-        let waits = |request: &Waiting<K>| now_ms < request.since_ms + PROBE_MS;
+        let waits = |request: &Waiting<K>| now_ms < request.since_ms + STALL_PROBE_TIMEOUT_MS;
         !self.waiting.iter().any(waits)
     }
 
     /// Returns how many requests a backend server may have that has just come back, of those that it could have.
     ///
     /// Its room grows evenly, so that a second stall costs few callers.
-    pub fn room(&self, limit: f64, now_ms: u64) -> f64 {
+    pub fn ramped_limit(&self, limit: f64, now_ms: u64) -> f64 {
         let Some(recovered_ms) = self.recovered_ms else {
             return limit;
         };
-        let passed_ms = now_ms.saturating_sub(recovered_ms).min(RAMP_MS);
-        (limit * passed_ms as f64 / RAMP_MS as f64).max(limit.min(1.0))
+        let passed_ms = now_ms.saturating_sub(recovered_ms).min(RECOVERY_RAMP_MS);
+        (limit * passed_ms as f64 / RECOVERY_RAMP_MS as f64).max(limit.min(1.0))
     }
 
     fn position(&self, flow: K) -> Result<usize, usize> {
@@ -242,11 +242,11 @@
     /// Returns the silence that counts as a stall.
     fn silence_ms(&self, now_ms: u64) -> u64 {
         let learnt_ms = (SILENCE_FACTOR * self.decayed_ms(now_ms)) as u64;
-        learnt_ms.max(LEAST_SILENCE_MS)
+        learnt_ms.max(MIN_STALL_SILENCE_MS)
     }
 }
 
-impl<K: Copy + Ord> Default for StallWatch<K> {
+impl<K: Copy + Ord> Default for StallDetector<K> {
     fn default() -> Self {
         Self::new()
     }
--- a/src/decisions/suspicion.rs
+++ b/src/decisions/suspicion.rs
@@ -40,7 +40,7 @@
     }
 
     /// Notes that something was sent to which the host should answer.
-    pub fn sent(&mut self, host: Ipv4Addr, now_ms: u64) {
+    pub fn record_sent(&mut self, host: Ipv4Addr, now_ms: u64) {
         let record = self.record(host);
         let since_ms = *record.unanswered_since_ms.get_or_insert(now_ms);
         if now_ms.saturating_sub(since_ms) > ANSWER_TIMEOUT_MS {
@@ -50,7 +50,7 @@
     }
 
     /// Notes that the host answered.
-    pub fn answered(&mut self, host: Ipv4Addr) {
+    pub fn record_answer(&mut self, host: Ipv4Addr) {
         let found = self
             .records
             .binary_search_by_key(&host, |record| record.host);
@@ -74,7 +74,7 @@
     }
 
     /// Forgets everything, as after a pause in which no answer could be read.
-    pub fn forget_all(&mut self) {
+    pub fn clear(&mut self) {
         self.records.clear();
     }
 
@@ -89,7 +89,7 @@
     }
 
     /// Returns the hosts suspected now.
-    pub fn suspected(&self, now_ms: u64) -> Vec<Ipv4Addr> {
+    pub fn suspected_hosts(&self, now_ms: u64) -> Vec<Ipv4Addr> {
         let now = self
             .records
             .iter()
--- a/src/decisions/waiting.rs
+++ b/src/decisions/wait_estimate.rs
@@ -8,7 +8,7 @@
 
 /// What is to be expected of an opener at one backend server.
 #[derive(Debug, Clone, Copy)]
-pub struct Prospect {
+pub struct WaitEstimate {
     /// For how long its caller has waited, in all attempts, in milliseconds.
     pub age_ms: u64,
     /// For how long its caller has waited in this attempt, in milliseconds.
@@ -25,12 +25,12 @@
     pub longest_wait_ms: u64,
 }
 
-impl Prospect {
+impl WaitEstimate {
     /// Tells whether the opener should wait.
     ///
     /// What can't be in time waits only while those before it are served: where one of them has waited for a
     /// whole objective, what comes behind it has no better chance than a new attempt elsewhere.
-    pub fn waits(&self) -> bool {
+    pub fn should_wait(&self) -> bool {
         let done_ms = self.age_ms + self.wait_ms + self.service_ms as u64;
         if done_ms <= u64::from(self.objective_ms) {
             return true;
--- a/src/decisions/wait_queue.rs
+++ b/src/decisions/wait_queue.rs
@@ -20,7 +20,7 @@
 
 /// How fast a queue is served, and what its callers aim at.
 #[derive(Debug, Clone, Copy)]
-pub struct Pace {
+pub struct QueueParams {
     /// For how long each occupies a slot, in milliseconds.
     pub service_ms: f64,
     /// How many are served at once.
@@ -29,7 +29,7 @@
     pub objective_ms: u32,
 }
 
-impl Pace {
+impl QueueParams {
     /// Returns when one that goes now is answered.
     fn answered_ms(&self, now_ms: u64) -> u64 {
         now_ms + (SERVICE_MARGIN * self.service_ms) as u64
@@ -38,7 +38,7 @@
 
 /// Something that waits for a slot.
 #[derive(Debug, Clone)]
-pub struct Waiting<T> {
+pub struct QueuedItem<T> {
     /// What waits.
     pub item: T,
     /// Tells callers apart.
@@ -55,7 +55,7 @@
     pub deadline_ms: u64,
 }
 
-impl<T> Waiting<T> {
+impl<T> QueuedItem<T> {
     /// Returns when its caller first asked, by which those of different objectives are told apart in age.
     fn asked_ms(&self) -> u64 {
         self.due_ms.saturating_sub(self.objective_ms.into())
@@ -64,7 +64,7 @@
 
 #[derive(Debug)]
 struct Entry<T> {
-    waiting: Waiting<T>,
+    waiting: QueuedItem<T>,
     /// How many of the same caller were waiting when it came.
     turn: u32,
 }
@@ -87,7 +87,7 @@
 
 impl<T> WaitQueue<T> {
     /// Makes a queue in which at most so many wait.
-    pub(crate) fn of(most: usize) -> Self {
+    pub(crate) fn with_max_len(most: usize) -> Self {
         Self {
             entries: Vec::new(),
             most,
@@ -110,7 +110,7 @@
     }
 
     /// Adds one at the end; says whether there was room.
-    pub fn push(&mut self, waiting: Waiting<T>) -> bool {
+    pub fn push(&mut self, waiting: QueuedItem<T>) -> bool {
         if !self.has_room() {
             return false;
         }
@@ -122,11 +122,11 @@
     /// Takes out the one that goes first of those that may go now.
     pub fn pop_if(
         &mut self,
-        pace: &Pace,
+        params: &QueueParams,
         now_ms: u64,
         may_go: impl Fn(&T) -> bool,
-    ) -> Option<Waiting<T>> {
-        let order = self.order(pace, now_ms);
+    ) -> Option<QueuedItem<T>> {
+        let order = self.order(params, now_ms);
         let entries = self.entries.iter().enumerate();
         let going = entries.filter(|(_, entry)| may_go(&entry.waiting.item));
         let (index, _) = going.min_by_key(|(_, entry)| order.rank(&entry.waiting, entry.turn))?;
@@ -134,8 +134,13 @@
     }
 
     /// Returns how many would go before one that came now.
-    pub fn ahead_of(&self, waiting: &Waiting<T>, pace: &Pace, now_ms: u64) -> u32 {
-        let order = self.order(pace, now_ms);
+    pub fn count_ahead_of(
+        &self,
+        waiting: &QueuedItem<T>,
+        params: &QueueParams,
+        now_ms: u64,
+    ) -> u32 {
+        let order = self.order(params, now_ms);
         let own = order.rank(waiting, self.turn_of(waiting.caller));
         let ranks = self
             .entries
@@ -145,24 +150,24 @@
     }
 
     /// Returns how many can still be in time; the others delay nothing that comes.
-    pub fn in_time(&self, pace: &Pace, now_ms: u64) -> u32 {
-        let answered_ms = pace.answered_ms(now_ms);
+    pub fn count_in_time(&self, params: &QueueParams, now_ms: u64) -> u32 {
+        let answered_ms = params.answered_ms(now_ms);
         let entries = self.entries.iter();
         let in_time = entries.filter(|entry| answered_ms <= entry.waiting.due_ms);
         in_time.count() as u32
     }
 
-    fn order(&self, pace: &Pace, now_ms: u64) -> Order {
-        let in_time = f64::from(self.in_time(pace, now_ms));
-        let queue_ms = in_time * pace.service_ms / f64::from(pace.slots.max(1));
+    fn order(&self, params: &QueueParams, now_ms: u64) -> Order {
+        let in_time = f64::from(self.count_in_time(params, now_ms));
+        let queue_ms = in_time * params.service_ms / f64::from(params.slots.max(1));
         Order {
-            answered_ms: pace.answered_ms(now_ms),
-            newest_first: queue_ms > LONG_QUEUE * f64::from(pace.objective_ms),
+            answered_ms: params.answered_ms(now_ms),
+            newest_first: queue_ms > LONG_QUEUE * f64::from(params.objective_ms),
         }
     }
 
     /// Takes out those for which a test holds.
-    pub fn take_if(&mut self, is_taken: impl Fn(&Waiting<T>) -> bool) -> Vec<Waiting<T>> {
+    pub fn take_if(&mut self, is_taken: impl Fn(&QueuedItem<T>) -> bool) -> Vec<QueuedItem<T>> {
         let taken = self
             .entries
             .extract_if(.., |entry| is_taken(&entry.waiting))
@@ -177,7 +182,7 @@
     }
 
     /// Returns what waits, in order of arrival.
-    pub fn iter(&self) -> impl Iterator<Item = &Waiting<T>> {
+    pub fn iter(&self) -> impl Iterator<Item = &QueuedItem<T>> {
         self.entries.iter().map(|entry| &entry.waiting)
     }
 
@@ -197,7 +202,7 @@
 
 impl Order {
     /// Returns the place of one that waits; the least goes first.
-    fn rank<T>(&self, waiting: &Waiting<T>, turn: u32) -> (bool, u8, u32, u64) {
+    fn rank<T>(&self, waiting: &QueuedItem<T>, turn: u32) -> (bool, u8, u32, u64) {
         let is_late = self.answered_ms > waiting.due_ms;
         let due = match self.newest_first {
             true => u64::MAX - waiting.asked_ms(),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -47,28 +47,28 @@
 pub use crate::config::table::{Row, TABLE_HEADER, Table, parse_tables};
 pub use crate::config::table_diff::{RowChange, TableDiff};
 pub use crate::config::value_state::ValueState;
-pub use crate::decisions::admission::{Admission, Decision, Handed, Opener, RAMP_MS};
+pub use crate::decisions::admission::{Admission, Decision, Opener, OpenerSource, SLOW_START_MS};
 pub use crate::decisions::early_openers::{EarlyOpener, EarlyOpeners};
-pub use crate::decisions::known_waits::KnownWaits;
 pub use crate::decisions::ledger::{
-    Begin, KeptAnswer, Ledger, MAX_KEPT_ANSWER_BYTES, MAX_KEPT_BYTES,
+    BeginOutcome, KeptAnswer, Ledger, MAX_KEPT_ANSWER_BYTES, MAX_KEPT_BYTES,
 };
-pub use crate::decisions::load_board::{
-    FULL_SHARE_PERMILLE, KnownLoad, LoadBoard, LoadReport, REPORT_MAX_AGE_MS,
+pub use crate::decisions::moved_fraction::{MovedFraction, SlotLoad};
+pub use crate::decisions::offers::{Candidate, Offer, TAKES_NONE_WAIT_MS, next_offer};
+pub use crate::decisions::peer_loads::{
+    FULL_SHARE_PERMILLE, LoadReport, PeerLoad, PeerLoads, REPORT_MAX_AGE_MS,
 };
-pub use crate::decisions::move_share::{BusyStanding, MoveShare};
-pub use crate::decisions::offers::{Candidate, Offer, TAKES_NONE_MS, choose};
-pub use crate::decisions::placement::{Candidates, candidates, ranked};
+pub use crate::decisions::placement::{Placement, place_opener, rank_targets};
+pub use crate::decisions::reported_waits::ReportedWaits;
 pub use crate::decisions::retry_budget::RetryBudget;
-pub use crate::decisions::service_time::SlotTime;
-pub use crate::decisions::slots::{Arrival, Next, Refusal, RequestId, Slots};
+pub use crate::decisions::service_time::ServiceTimeEstimator;
+pub use crate::decisions::slots::{ArrivalOutcome, Dequeued, Refusal, RequestId, Slots};
 pub use crate::decisions::stall::{
-    LEAST_SILENCE_MS, LOOK_MS, PROBE_MS as STALL_PROBE_MS, RAMP_MS as STALL_RAMP_MS, Stall,
-    StallWatch,
+    MIN_STALL_SILENCE_MS, RECOVERY_RAMP_MS, STALL_CHECK_INTERVAL_MS, STALL_PROBE_TIMEOUT_MS, Stall,
+    StallDetector,
 };
 pub use crate::decisions::suspicion::{ANSWER_TIMEOUT_MS, SUSPICION_MS, Suspicion};
-pub use crate::decisions::wait_queue::{Pace, WaitQueue, Waiting};
-pub use crate::decisions::waiting::Prospect;
+pub use crate::decisions::wait_estimate::WaitEstimate;
+pub use crate::decisions::wait_queue::{QueueParams, QueuedItem, WaitQueue};
 pub use crate::error::{Error, Result};
 pub use crate::explain::{LogLine, explain, parse_log};
 pub use crate::links::link_auth::{LinkSide, authenticate};
--- a/src/links/node_codec.rs
+++ b/src/links/node_codec.rs
@@ -9,7 +9,7 @@
 use crate::config::config_store::{Digest, ValueUpdate};
 use crate::config::delta::Delta;
 use crate::config::stamp::Stamp;
-use crate::decisions::load_board::LoadReport;
+use crate::decisions::peer_loads::LoadReport;
 use crate::error::{Error, Result};
 use crate::node_capnp::{digest, entry, header, load_report, value};
 
--- a/src/links/peers.rs
+++ b/src/links/peers.rs
@@ -13,7 +13,7 @@
 use crate::config::sealed_id::{SEALED_ID_BYTES, SealedBytes};
 use crate::config::service_id::ServiceId;
 use crate::config::stamp::Stamp;
-use crate::decisions::load_board::LoadReport;
+use crate::decisions::peer_loads::LoadReport;
 use crate::decisions::slots::Refusal;
 use crate::error::{Error, Result};
 use crate::links::link::{self, Link};
--- a/src/opaque/finding/flow_search.rs
+++ b/src/opaque/finding/flow_search.rs
@@ -136,7 +136,7 @@
         // Without room for it the search begins anew with each copy.
         let _ = self.shown.insert(*flow, from + count);
         let hosts = self.agents.iter().map(|agent| agent.host).collect();
-        placement::first_hosts(hosts, flow.hash(), from + count).split_off(from)
+        placement::top_ranked_hosts(hosts, flow.hash(), from + count).split_off(from)
     }
 
     fn forget(&mut self, now_ms: u64) {
--- a/src/opaque/finding/lookup.rs
+++ b/src/opaque/finding/lookup.rs
@@ -275,7 +275,7 @@
     }
     let mut others = directory.current_hosts().to_vec();
     others.retain(|host| *host != own_host);
-    let mut order = placement::first_hosts(others, lookup.flow.hash(), MAX_ASKED);
+    let mut order = placement::top_ranked_hosts(others, lookup.flow.hash(), MAX_ASKED);
     let is_unanswered = |host: &Ipv4Addr| hosts.binary_search(host).is_ok();
     if order[..NEAR_ASKED].iter().any(is_unanswered) {
         order.truncate(NEAR_ASKED);
--- a/src/opaque/forwarder.rs
+++ b/src/opaque/forwarder.rs
@@ -13,7 +13,7 @@
 
 use crate::code::Code;
 use crate::decisions::early_openers::EarlyOpeners;
-use crate::decisions::known_waits::KnownWaits;
+use crate::decisions::reported_waits::ReportedWaits;
 use crate::decisions::suspicion::Suspicion;
 use crate::error::{Error, Result};
 use crate::opaque::finding::flow_map::FlowMap;
@@ -81,7 +81,7 @@
     /// The loads over a longer time, of which agents are told the mean.
     steady_loads: KnownLoads,
     means: ServiceMeans,
-    waits: KnownWaits,
+    waits: ReportedWaits,
     /// Openers that came before a configuration.
     early: EarlyOpeners<FlowKey, Vec<u8>>,
     retries: ExpectedRetries,
@@ -110,7 +110,7 @@
             loads: KnownLoads::default(),
             steady_loads: KnownLoads::default(),
             means: ServiceMeans::default(),
-            waits: KnownWaits::default(),
+            waits: ReportedWaits::default(),
             early: EarlyOpeners::default(),
             retries: ExpectedRetries::new(),
         }
@@ -236,8 +236,8 @@
     /// Forgets flows of which nothing was heard for as long as a flow lives.
     pub fn expire(&mut self, now_ms: u64) {
         self.loads.expire(now_ms);
-        self.waits.expire(now_ms);
-        self.early.expire(now_ms);
+        self.waits.remove_expired(now_ms);
+        self.early.remove_expired(now_ms);
         self.steady_loads.expire(now_ms);
         self.retries.expire(now_ms);
         let lifetime_ms = self.flow_lifetime_ms;
--- a/src/opaque/forwarder/offers.rs
+++ b/src/opaque/forwarder/offers.rs
@@ -5,7 +5,7 @@
 use std::net::Ipv4Addr;
 
 use crate::code::Code;
-use crate::decisions::offers::{Candidate, Offer, choose};
+use crate::decisions::offers::{Candidate, Offer, next_offer};
 use crate::decisions::suspicion::Suspicion;
 use crate::error::{Error, Result};
 use crate::opaque::forwarder::watched::{TAKEN_TIMEOUT_MS, Watched};
@@ -26,8 +26,8 @@
 impl Forwarder {
     /// Notes for how long a new flow would wait at an agent.
     pub fn heard_wait(&mut self, directory: &Directory, host: Ipv4Addr, wait_ms: u16, now_ms: u64) {
-        let is_near = directory.is_in_zone(host, &self.zone);
-        self.waits.heard(host, is_near, wait_ms, now_ms);
+        let is_same_zone = directory.is_in_zone(host, &self.zone);
+        self.waits.record(host, is_same_zone, wait_ms, now_ms);
     }
 
     /// Sends a copy of an opener to the agent that has it, or offers it to one.
@@ -79,7 +79,7 @@
         let flow = watched.flow;
         let none = || Error::new(Code::HostUnknown, flow.called.to_string());
         let candidates = self.candidates(directory, suspicion, &watched, now_ms)?;
-        let offer = choose(&candidates).ok_or_else(none)?;
+        let offer = next_offer(&candidates).ok_or_else(none)?;
         let mut message = self.message(watched.waited_ms);
         let host = match offer {
             // One that says nothing may be of a version that knows no offers.
@@ -98,7 +98,7 @@
             watched.offered.len() + 1,
             message.kind == MessageKind::Deliver
         );
-        self.waits.sent(host);
+        self.waits.record_sent_flow(host);
         watched.host = host;
         watched.offered.push(host);
         watched.sent_ms = now_ms;
@@ -117,11 +117,11 @@
     ) -> Result<Vec<Candidate>> {
         let flow = &watched.flow;
         let hosts = candidates::asked(directory, suspicion, &self.zone, flow, now_ms)?;
-        let candidate = |(host, is_near)| Candidate {
+        let candidate = |(host, is_same_zone)| Candidate {
             host,
-            is_near,
-            wait_ms: self.waits.get(host, now_ms),
-            level_ms: self.waits.level_ms(is_near, now_ms),
+            is_same_zone,
+            wait_ms: self.waits.wait_ms(host, now_ms),
+            mean_wait_ms: self.waits.mean_wait_ms(is_same_zone, now_ms),
             was_offered: watched.offered.contains(&host),
         };
         Ok(hosts.into_iter().map(candidate).collect())
--- a/src/opaque/forwarder/without_routes.rs
+++ b/src/opaque/forwarder/without_routes.rs
@@ -26,7 +26,7 @@
         let flow = segment.flow_from_caller();
         if segment.opens {
             let copy = segment.acknowledgement;
-            let is_kept = self.early.keep(flow, copy, packet.to_vec(), now_ms);
+            let is_kept = self.early.insert(flow, copy, packet.to_vec(), now_ms);
             log::info!("event=opener_waits flow={flow} copy={copy} kept={is_kept}");
             return Err(Error::new(Code::RouteUnknown, flow.called.to_string()));
         }
--- a/src/opaque/keeper.rs
+++ b/src/opaque/keeper.rs
@@ -22,8 +22,8 @@
 use crate::code::Code;
 use crate::config::revision::Revision;
 use crate::config::service_id::ServiceId;
-use crate::decisions::service_time::SlotTime;
-use crate::decisions::stall::StallWatch;
+use crate::decisions::service_time::ServiceTimeEstimator;
+use crate::decisions::stall::StallDetector;
 use crate::decisions::suspicion::Suspicion;
 use crate::decisions::wait_queue::WaitQueue;
 use crate::error::Result;
@@ -84,14 +84,14 @@
     load: MeanLoad,
     /// The load over a longer time, by which flows are shared out.
     steady_load: MeanLoad,
-    slot_time: SlotTime,
+    service_time: ServiceTimeEstimator,
     /// The fewest requests at which the backend server refused one for want of room, and when it last did.
     shed_at: Option<(u32, u64)>,
     /// Openers and requests that wait for a slot of the backend server.
     waiting: WaitQueue<WaitingWork>,
     outcomes: RecentOutcomes,
     failing: bool,
-    stall: StallWatch<FlowKey>,
+    stall: StallDetector<FlowKey>,
     cold_rate: ColdRate,
     /// Since when the backend server may be cold without its entry telling so yet.
     maybe_cold_since_ms: Option<u64>,
@@ -132,12 +132,12 @@
             flows: FlowBook::new(metrics, identity.flow_lifetime_ms),
             load: MeanLoad::over(RECENT_SPAN_MS),
             steady_load: MeanLoad::over(STEADY_SPAN_MS),
-            slot_time: SlotTime::default(),
+            service_time: ServiceTimeEstimator::default(),
             shed_at: None,
             waiting: WaitQueue::default(),
             outcomes: RecentOutcomes::default(),
             failing: false,
-            stall: StallWatch::new(),
+            stall: StallDetector::new(),
             cold_rate: ColdRate::default(),
             maybe_cold_since_ms: None,
             was_evacuated: false,
--- a/src/opaque/keeper/answers.rs
+++ b/src/opaque/keeper/answers.rs
@@ -63,7 +63,7 @@
             // A late copy of an opener whose flow has opened already, here or elsewhere.
             _ if segment.opens => {}
             holding => {
-                self.stall.withdrawn(key);
+                self.stall.remove_request(key);
                 let lost = self.flows.update(&key, scene.now_ms, |flow| {
                     flow.holding = Holding::Absent;
                     flow.running.take()
@@ -155,13 +155,13 @@
         if brings && !is_error {
             self.note_progress(key, now_ms);
         } else if answered.is_some() {
-            self.stall.withdrawn(key);
+            self.stall.remove_request(key);
         }
         match answered {
             Some((running, None)) => {
                 if !is_error {
                     // A refusal says nothing of how long requests take.
-                    self.slot_time.answered(now_ms);
+                    self.service_time.record_answer(now_ms);
                 }
                 self.note_slots(scene);
                 self.note_answer(scene, &key, &running, status);
--- a/src/opaque/keeper/backend_life.rs
+++ b/src/opaque/keeper/backend_life.rs
@@ -1,7 +1,7 @@
 //! What an agent believes of the process of its backend server: listening, ended, restarted, failing.
 
 use crate::code::Code;
-use crate::decisions::service_time::SlotTime;
+use crate::decisions::service_time::ServiceTimeEstimator;
 use crate::opaque::finding::remains::Remains;
 use crate::opaque::keeper::{Keeper, Scene};
 use crate::opaque::openers::recent_outcomes::RecentOutcomes;
@@ -86,7 +86,7 @@
         // Whatever came in until now was for the process that has ended.
         let remains = self.flows.take_remains(u64::MAX, scene.now_ms);
         self.pending.clear();
-        self.stall.forget();
+        self.stall.reset();
         self.forget_slot_times();
         log::info!(
             "event=backend_ended flows={} openers={} last_packet_ms_ago={} revision={}",
@@ -160,14 +160,14 @@
     fn forget_outcomes(&mut self) {
         self.outcomes = RecentOutcomes::default();
         self.failing = false;
-        self.stall.forget();
+        self.stall.reset();
         self.forget_slot_times();
         self.silent_since_ms = None;
     }
 
     /// Forgets how long requests took and how many were too many, after a stall or a process that has ended.
     pub(super) fn forget_slot_times(&mut self) {
-        self.slot_time = SlotTime::default();
+        self.service_time = ServiceTimeEstimator::default();
         self.shed_at = None;
     }
 
--- a/src/opaque/keeper/declines.rs
+++ b/src/opaque/keeper/declines.rs
@@ -7,7 +7,7 @@
 
 use std::net::Ipv4Addr;
 
-use crate::decisions::offers::TAKES_NONE_MS;
+use crate::decisions::offers::TAKES_NONE_WAIT_MS;
 use crate::opaque::finding::flow::Opening;
 use crate::opaque::keeper::{Keeper, Scene, tell};
 use crate::opaque::packets::action::Action;
@@ -70,7 +70,7 @@
         let wait_ms = match reason {
             Declined::AboveMean => ABOVE_MEAN_MS,
             Declined::Busy => self.expected_wait_ms(scene),
-            Declined::TakesNone => TAKES_NONE_MS,
+            Declined::TakesNone => TAKES_NONE_WAIT_MS,
         };
         log::info!(
             "event=opener_declined flow={key} reason={reason:?} wait_ms={wait_ms} busy={} slots={} load_permille={} mean_permille={} revision={}",
--- a/src/opaque/keeper/held_requests.rs
+++ b/src/opaque/keeper/held_requests.rs
@@ -63,7 +63,7 @@
         };
         self.metrics.requests_held_back.inc();
         if scene.directory.has_deadline(key.called) {
-            self.stall.came_in(scene.now_ms);
+            self.stall.record_arrival(scene.now_ms);
         }
         let work = WaitingWork {
             key,
--- a/src/opaque/keeper/stall.rs
+++ b/src/opaque/keeper/stall.rs
@@ -33,13 +33,13 @@
     }
 
     /// Looks whether the backend server stands still, and ends what loses nothing by it; due each
-    /// [`crate::decisions::stall::LOOK_MS`].
+    /// [`crate::decisions::stall::STALL_CHECK_INTERVAL_MS`].
     pub fn look_for_stall(&mut self, scene: &Scene<'_>) -> Vec<Action> {
         // A backend server that no table has gets no opener, and its flows end soon.
         let Some(slots) = self.own_slots(scene) else {
             return Vec::new();
         };
-        if let Some(stall) = self.stall.look(slots, scene.now_ms) {
+        if let Some(stall) = self.stall.check(slots, scene.now_ms) {
             self.metrics.backend_stalls.inc();
             log::warn!(
                 "event=backend_stalled silent_ms={} waiting={} slots={slots} open={} revision={}",
@@ -92,16 +92,16 @@
         if is_new_data {
             let has_deadline = scene.directory.has_deadline(key.called);
             let is_whole = has_deadline && !may_go_on(segment);
-            self.stall.handed_over(key, is_whole, scene.now_ms);
+            self.stall.record_request(key, is_whole, scene.now_ms);
         }
         if segment.ends || segment.resets {
-            self.stall.withdrawn(key);
+            self.stall.remove_request(key);
         }
     }
 
     /// Notes that the backend server answered something that it had to work for.
     pub(super) fn note_progress(&mut self, key: FlowKey, now_ms: u64) {
-        if let Some(stalled_ms) = self.stall.served(key, now_ms) {
+        if let Some(stalled_ms) = self.stall.record_answer(key, now_ms) {
             log::warn!(
                 "event=backend_recovered stalled_ms={stalled_ms} busy={}",
                 self.flows.busy()
@@ -130,6 +130,6 @@
     /// Tells whether a backend server that has just come back has as much to do as it should have by now.
     pub(super) fn is_refilled(&self, limit: Option<f64>, now_ms: u64) -> bool {
         let busy = f64::from(self.flows.busy());
-        limit.is_some_and(|limit| busy >= self.stall.room(limit, now_ms))
+        limit.is_some_and(|limit| busy >= self.stall.ramped_limit(limit, now_ms))
     }
 }
--- a/src/opaque/keeper/waiting.rs
+++ b/src/opaque/keeper/waiting.rs
@@ -6,8 +6,8 @@
 use crate::code::Code;
 use crate::config::deadlines::{Deadline, UNANSWERED_ATTEMPT_MS};
 use crate::decisions::service_time::wait_ms;
-use crate::decisions::wait_queue::{Pace, WaitQueue, Waiting};
-use crate::decisions::waiting::Prospect;
+use crate::decisions::wait_estimate::WaitEstimate;
+use crate::decisions::wait_queue::{QueueParams, QueuedItem, WaitQueue};
 use crate::opaque::finding::flow::Opening;
 use crate::opaque::keeper::{Keeper, Scene, tell};
 use crate::opaque::packets::action::Action;
@@ -53,8 +53,8 @@
     /// Notes how many slots are occupied from now on.
     pub(super) fn note_slots(&mut self, scene: &Scene<'_>) {
         let slots = self.own_slots(scene).unwrap_or_default();
-        self.slot_time
-            .changed(self.flows.busy(), slots, scene.now_ms);
+        self.service_time
+            .set_occupied(self.flows.busy(), slots, scene.now_ms);
     }
 
     /// Tells whether the backend server has reason to refuse a request for want of room.
@@ -69,7 +69,9 @@
         let Some(slots) = self.own_slots(scene) else {
             return 0;
         };
-        let before = self.waiting.in_time(&self.pace(slots), scene.now_ms);
+        let before = self
+            .waiting
+            .count_in_time(&self.queue_params(slots), scene.now_ms);
         self.wait_behind_ms(scene, slots, before).min(MAX_TOLD_MS) as u16
     }
 
@@ -77,7 +79,7 @@
     fn wait_behind_ms(&mut self, scene: &Scene<'_>, slots: u32, before: u32) -> u64 {
         let there = self.flows.busy_now(scene.now_ms) + before;
         let ahead = (there + 1).saturating_sub(slots);
-        wait_ms(ahead, self.slot_time.service_ms(), slots)
+        wait_ms(ahead, self.service_time.service_ms(), slots)
     }
 
     /// Returns from how many requests on a backend server is handed nothing that can wait.
@@ -88,7 +90,7 @@
         let least_ms = self.least_objective_ms();
         let objective_ms = least_ms.map_or(objective_ms, |least_ms| least_ms.min(objective_ms));
         let queued_ms = QUEUED_PART * f64::from(objective_ms);
-        let most = f64::from(slots) * (1.0 + queued_ms / self.slot_time.service_ms());
+        let most = f64::from(slots) * (1.0 + queued_ms / self.service_time.service_ms());
         let refused_at = self.shed_at(now_ms).map_or(f64::INFINITY, f64::from);
         most.min(refused_at).max(f64::from(slots))
     }
@@ -134,15 +136,15 @@
     ) -> Result<(), Opening> {
         let balancer = opening.balancer;
         let waiting = opener_of(scene, key, &opening, deadline);
-        let prospect = self.prospect(scene, &waiting, &opening, deadline);
-        if !prospect.waits() || !self.has_place(scene, deadline) {
+        let wait_estimate = self.wait_estimate(scene, &waiting, &opening, deadline);
+        if !wait_estimate.should_wait() || !self.has_place(scene, deadline) {
             return Err(opening);
         }
         self.metrics.openers_queued.inc();
         log::info!(
             "event=opener_queued flow={key} behind={} wait_ms={} due_ms={} busy={} slots={} revision={}",
             self.waiting.len(),
-            prospect.wait_ms,
+            wait_estimate.wait_ms,
             waiting.due_ms.saturating_sub(scene.now_ms),
             self.flows.busy(),
             self.own_slots(scene).unwrap_or_default(),
@@ -161,28 +163,28 @@
     /// Returns how many may wait: as many as can be served before a caller gives up.
     fn max_waiting(&self, scene: &Scene<'_>, deadline: &Deadline) -> usize {
         let slots = self.own_slots(scene).unwrap_or_default();
-        let served = f64::from(deadline.timeout_ms) / self.slot_time.service_ms();
+        let served = f64::from(deadline.timeout_ms) / self.service_time.service_ms();
         (served * f64::from(slots)).ceil() as usize
     }
 
-    fn prospect(
+    fn wait_estimate(
         &mut self,
         scene: &Scene<'_>,
-        waiting: &Waiting<WaitingWork>,
+        waiting: &QueuedItem<WaitingWork>,
         opening: &Opening,
         deadline: &Deadline,
-    ) -> Prospect {
+    ) -> WaitEstimate {
         let slots = self.own_slots(scene).unwrap_or_default();
-        let service_ms = self.slot_time.service_ms();
-        let pace = Pace {
+        let service_ms = self.service_time.service_ms();
+        let params = QueueParams {
             service_ms,
             slots,
             objective_ms: deadline.objective_ms,
         };
-        let before = self.waiting.ahead_of(waiting, &pace, scene.now_ms);
+        let before = self.waiting.count_ahead_of(waiting, &params, scene.now_ms);
         let wait_ms = self.wait_behind_ms(scene, slots, before);
         let oldest_ms = self.waiting.iter().map(|waiting| waiting.since_ms).min();
-        Prospect {
+        WaitEstimate {
             age_ms: opening.age_ms(),
             attempt_age_ms: opening.copy_age_ms(),
             wait_ms: wait_ms.max(self.cold_wait_ms(scene)),
@@ -197,7 +199,7 @@
     /// in milliseconds.
     fn cold_wait_ms(&self, scene: &Scene<'_>) -> u64 {
         let is_opener =
-            |waiting: &&Waiting<WaitingWork>| matches!(waiting.item.kind, WorkKind::Opener(_));
+            |waiting: &&QueuedItem<WaitingWork>| matches!(waiting.item.kind, WorkKind::Opener(_));
         let before = self.waiting.iter().filter(is_opener).count();
         let flows_per_s = self.cold_flows_per_s(scene);
         flows_per_s.map_or(0, |flows_per_s| self.cold_rate.wait_ms(flows_per_s, before))
@@ -208,7 +210,7 @@
     pub(super) fn is_stuck(&mut self, scene: &Scene<'_>) -> bool {
         self.note_slots(scene);
         let is_silent = self.silent_since_ms.is_some();
-        is_silent || self.slot_time.is_stuck() || self.is_stalled(scene.now_ms)
+        is_silent || self.service_time.is_stuck() || self.is_stalled(scene.now_ms)
     }
 
     /// Hands over what waits while the backend server has room, and ends the wait of what has waited long enough.
@@ -225,10 +227,10 @@
         }
         let slots = self.own_slots(scene).unwrap_or_default();
         while self.has_room(scene, slots) {
-            let pace = self.pace(slots);
+            let params = self.queue_params(slots);
             let may_open = self.has_cold_rate(scene);
             let may_go = |work: &WaitingWork| may_open || matches!(work.kind, WorkKind::Request(_));
-            let Some(next) = self.waiting.pop_if(&pace, scene.now_ms, may_go) else {
+            let Some(next) = self.waiting.pop_if(&params, scene.now_ms, may_go) else {
                 break;
             };
             self.end_wait(scene, next, actions);
@@ -238,7 +240,7 @@
 
     /// Tells whether the backend server may be handed something that waits.
     fn has_room(&mut self, scene: &Scene<'_>, slots: u32) -> bool {
-        let objective_ms = self.pace(slots).objective_ms;
+        let objective_ms = self.queue_params(slots).objective_ms;
         let busy = f64::from(self.flows.busy_now(scene.now_ms));
         busy < self.handed_at_most(slots, objective_ms, scene.now_ms)
     }
@@ -246,7 +248,7 @@
     fn end_wait(
         &mut self,
         scene: &Scene<'_>,
-        waiting: Waiting<WaitingWork>,
+        waiting: QueuedItem<WaitingWork>,
         actions: &mut Vec<Action>,
     ) {
         let WaitingWork { key, kind } = waiting.item;
@@ -268,7 +270,7 @@
                     "event=opener_dequeued flow={key} waited_ms={waited_ms} busy={} slots={} service_ms={:.1}",
                     self.flows.busy(),
                     self.own_slots(scene).unwrap_or_default(),
-                    self.slot_time.service_ms()
+                    self.service_time.service_ms()
                 );
                 opening.since_ms = scene.now_ms;
                 let passed_on = opening.clone();
@@ -279,9 +281,9 @@
         }
     }
 
-    fn pace(&self, slots: u32) -> Pace {
-        Pace {
-            service_ms: self.slot_time.service_ms(),
+    fn queue_params(&self, slots: u32) -> QueueParams {
+        QueueParams {
+            service_ms: self.service_time.service_ms(),
             slots,
             objective_ms: self.least_objective_ms().unwrap_or_default(),
         }
@@ -314,7 +316,7 @@
     /// Refuses openers whose callers would have left before they are served, and drops requests whose callers have: a
     /// caller that still waits sends them again. A request of a caller whose deadline is not known has waited enough.
     fn end_overdue(&mut self, scene: &Scene<'_>, actions: &mut Vec<Action>) {
-        let is_overdue = |waiting: &Waiting<WaitingWork>| waiting.deadline_ms <= scene.now_ms;
+        let is_overdue = |waiting: &QueuedItem<WaitingWork>| waiting.deadline_ms <= scene.now_ms;
         for waiting in self.waiting.take_if(is_overdue) {
             let WaitingWork { key, kind } = waiting.item;
             match kind {
@@ -380,7 +382,7 @@
     key: &FlowKey,
     opening: &Opening,
     deadline: &Deadline,
-) -> Waiting<WaitingWork> {
+) -> QueuedItem<WaitingWork> {
     let age_ms = opening.age_ms();
     let opens_ms = u64::from(UNANSWERED_ATTEMPT_MS).saturating_sub(opening.copy_age_ms());
     let left_ms = u64::from(deadline.timeout_ms).saturating_sub(age_ms);
@@ -399,10 +401,10 @@
     age_ms: u64,
     left_ms: u64,
     deadline: &Deadline,
-) -> Waiting<WaitingWork> {
+) -> QueuedItem<WaitingWork> {
     let route = scene.directory.routes().get(work.key.called);
     let objective_ms = u64::from(deadline.objective_ms).saturating_sub(age_ms);
-    Waiting {
+    QueuedItem {
         caller: u64::from(work.key.caller.ip().to_bits()),
         priority: route.map_or(0, |route| route.priority),
         since_ms: scene.now_ms,
--- a/src/opaque/openers/candidates.rs
+++ b/src/opaque/openers/candidates.rs
@@ -4,7 +4,7 @@
 use std::ops::RangeInclusive;
 
 use crate::code::Code;
-use crate::decisions::offers::{MAX_FAR, MAX_NEAR};
+use crate::decisions::offers::{MAX_OTHER_ZONES, MAX_SAME_ZONE};
 use crate::decisions::placement;
 use crate::decisions::suspicion::Suspicion;
 use crate::error::{Error, Result};
@@ -57,10 +57,10 @@
     let order = ranked(directory, suspicion, flow, now_ms)?;
     let is_near = |host: &Ipv4Addr| directory.is_in_zone(*host, zone);
     let (near, far): (Vec<Ipv4Addr>, Vec<Ipv4Addr>) = order.into_iter().partition(is_near);
-    let near: Vec<Ipv4Addr> = near.into_iter().take(MAX_NEAR).collect();
+    let near: Vec<Ipv4Addr> = near.into_iter().take(MAX_SAME_ZONE).collect();
     // A zone with few backend servers asks as many in all.
-    let more = MAX_NEAR - near.len();
-    let far = far.into_iter().take(MAX_FAR + more);
+    let more = MAX_SAME_ZONE - near.len();
+    let far = far.into_iter().take(MAX_OTHER_ZONES + more);
     let near = near.into_iter().map(|host| (host, true));
     Ok(near.chain(far.map(|host| (host, false))).collect())
 }
@@ -74,11 +74,11 @@
 ) -> Result<Vec<Ipv4Addr>> {
     let none = || Error::new(Code::HostUnknown, flow.called.to_string());
     let table = directory.table_of(flow).ok_or_else(none)?;
-    let trusted = placement::ranked(table, flow.hash(), |row| {
+    let trusted = placement::rank_targets(table, flow.hash(), |row| {
         row.weight > 0 && !suspicion.is_suspected(row.host, now_ms)
     });
     let ranked = if trusted.is_empty() {
-        placement::ranked(table, flow.hash(), |row| row.weight > 0)
+        placement::rank_targets(table, flow.hash(), |row| row.weight > 0)
     } else {
         trusted
     };
@@ -98,6 +98,6 @@
 /// holds the flow.
 pub(crate) fn any_agent(directory: &Directory, flow: &FlowKey) -> Option<Ipv4Addr> {
     let table = directory.table_of(flow)?;
-    let ranked = placement::ranked_by_slots(table, flow.hash(), |_| true);
+    let ranked = placement::rank_targets_by_slots(table, flow.hash(), |_| true);
     ranked.first().map(|row| row.host)
 }
--- a/src/opaque/openers/opener_order.rs
+++ b/src/opaque/openers/opener_order.rs
@@ -41,7 +41,7 @@
     may_be: impl Fn(Ipv4Addr) -> bool,
 ) -> Option<Ipv4Addr> {
     let table = scene.directory.table_of(key)?;
-    let order = placement::ranked(table, key.hash(), |row| {
+    let order = placement::rank_targets(table, key.hash(), |row| {
         let trusted = !scene.suspicion.is_suspected(row.host, scene.now_ms);
         row.host == own || (row.weight > 0 && trusted && may_be(row.host))
     });
@@ -65,6 +65,6 @@
     let Some(table) = scene.directory.table_of(key) else {
         return Vec::new();
     };
-    let order = placement::ranked_by_slots(table, key.hash(), |row| row.host != own);
+    let order = placement::rank_targets_by_slots(table, key.hash(), |row| row.host != own);
     order.iter().take(count).map(|row| row.host).collect()
 }
--- a/src/opaque/processes/entry.rs
+++ b/src/opaque/processes/entry.rs
@@ -157,7 +157,7 @@
 
     fn peer_says(self: &Rc<Self>, from: Ipv4Addr, message: &Message, payload: &[u8]) {
         let now_ms = self.node.control.now_ms();
-        self.node.control.suspicion.borrow_mut().answered(from);
+        self.node.control.suspicion.borrow_mut().record_answer(from);
         let load_permille = message.load_permille;
         self.forwarder
             .borrow_mut()
--- a/src/opaque/processes/side.rs
+++ b/src/opaque/processes/side.rs
@@ -12,7 +12,7 @@
 use crate::code::Code;
 use crate::config::service_id::ServiceId;
 use crate::controllers::control::Control;
-use crate::decisions::stall::LOOK_MS;
+use crate::decisions::stall::STALL_CHECK_INTERVAL_MS;
 use crate::error::{Error, Result};
 use crate::opaque::finding::lookup::asks_all;
 use crate::opaque::keeper::{Keeper, KeeperIdentity, Scene};
@@ -129,7 +129,10 @@
         self.node.control.timers.every(GREET_MS, greet);
         let side = self.clone();
         let look = move || side.decide(|keeper, scene| Ok(keeper.look_for_stall(scene)));
-        self.node.control.timers.every(LOOK_MS, look);
+        self.node
+            .control
+            .timers
+            .every(STALL_CHECK_INTERVAL_MS, look);
         let side = self.clone();
         let lifetime_ms = self.node.control.settings.opaque.flow_lifetime_ms();
         self.node.control.timers.every(TIDY_MS, move || {
--- a/src/opaque/values/published.rs
+++ b/src/opaque/values/published.rs
@@ -354,7 +354,7 @@
         if self.asked.get().is_some_and(|(host, _)| host == from) {
             self.asked.set(Some((from, 0)));
         }
-        self.control.suspicion.borrow_mut().answered(from);
+        self.control.suspicion.borrow_mut().record_answer(from);
         let failing = age_ms == UNKNOWN_AGE_MS;
         self.freshness.borrow_mut().set_parent_failing(failing);
         if digest == self.control.store.borrow().digest() {
--- a/src/programs/daemon.rs
+++ b/src/programs/daemon.rs
@@ -196,7 +196,7 @@
     let resumed = control.clone();
     control.timers.on_resume(move || {
         resumed.peers.drop_all();
-        resumed.suspicion.borrow_mut().forget_all();
+        resumed.suspicion.borrow_mut().clear();
         let control = resumed.clone();
         compio::runtime::spawn(async move {
             relay::compare_once(&control).await;
--- a/src/quic/agent.rs
+++ b/src/quic/agent.rs
@@ -83,7 +83,7 @@
             host: target.host,
             incarnation: self.control.incarnation,
             service: target.service,
-            nonce: target.ledger.borrow_mut().issue()?,
+            nonce: target.ledger.borrow_mut().issue_ticket()?,
         };
         let store = self.control.store.borrow();
         Some(ticket.seal(store.ring(), Purpose::Ticket, rand::random()))
--- a/src/quic/agent_datagrams.rs
+++ b/src/quic/agent_datagrams.rs
@@ -9,7 +9,7 @@
 use crate::code::Code;
 use crate::config::sealed_id::{Purpose, SealedId};
 use crate::config::service_id::ServiceId;
-use crate::decisions::admission::{Decision, Handed, Opener};
+use crate::decisions::admission::{Decision, Opener, OpenerSource};
 use crate::error::{Error, Result};
 use crate::process::udp::BUFFER_BYTES;
 use crate::quic::agent::Agent;
@@ -31,11 +31,11 @@
 }
 
 impl ArrivedOpener<'_> {
-    fn handed(&self) -> Handed {
+    fn source(&self) -> OpenerSource {
         match self.envelope.kind {
-            EnvelopeKind::Deflected => Handed::ByOwner,
-            EnvelopeKind::Returned => Handed::Returned,
-            _ => Handed::ByBalancer,
+            EnvelopeKind::Deflected => OpenerSource::DeflectingOwner,
+            EnvelopeKind::Returned => OpenerSource::ReturningPeer,
+            _ => OpenerSource::Balancer,
         }
     }
 }
@@ -111,11 +111,13 @@
         self.control.metrics.openers.inc();
         let opener = Opener {
             hash: arrived.hash,
-            handed: arrived.handed(),
+            source: arrived.source(),
             health_permille: target.health.borrow().share_permille(),
         };
-        if let (Handed::Returned, IpAddr::V4(peer)) = (opener.handed, arrived.sender.ip()) {
-            target.board.borrow_mut().returned_flow(peer);
+        if let (OpenerSource::ReturningPeer, IpAddr::V4(peer)) =
+            (opener.source, arrived.sender.ip())
+        {
+            target.peer_loads.borrow_mut().record_returned_opener(peer);
         }
         match self.decide(target, &opener) {
             Decision::Deflect(host) => {
@@ -142,9 +144,9 @@
             return Decision::Refuse(Code::NoTarget);
         };
         let mut admission = target.admission.borrow_mut();
-        let mut board = target.board.borrow_mut();
+        let mut peer_loads = target.peer_loads.borrow_mut();
         let now_ms = self.control.now_ms();
-        admission.decide(opener, table, &mut board, now_ms, &mut rand::rng())
+        admission.decide(opener, table, &mut peer_loads, now_ms, &mut rand::rng())
     }
 
     async fn hand_on(&self, arrived: &ArrivedOpener<'_>, kind: EnvelopeKind, host: Ipv4Addr) {
--- a/src/quic/agent_run.rs
+++ b/src/quic/agent_run.rs
@@ -46,7 +46,7 @@
         let agent = self.clone();
         timers.every(EXPIRE_PERIOD_MS, move || {
             agent.for_each_target(|target| {
-                target.slots.expire();
+                target.slots.refuse_expired();
                 target.expire_reservations();
             });
         });
@@ -59,8 +59,8 @@
         let agent = self.clone();
         timers.on_resume(move || {
             agent.for_each_target(|target| {
-                target.slots.expire();
-                target.board.borrow_mut().forget_all();
+                target.slots.refuse_expired();
+                target.peer_loads.borrow_mut().clear();
             });
         });
     }
@@ -164,7 +164,7 @@
         let now_ms = self.control.now_ms();
         self.for_each_target(|target| {
             target.admission.borrow_mut().prune(now_ms);
-            target.board.borrow_mut().prune(now_ms);
+            target.peer_loads.borrow_mut().prune(now_ms);
         });
         self.return_path.borrow_mut().prune(now_ms, FLOW_IDLE_MS);
         let idle = |flow: &FlowSocket| now_ms.saturating_sub(flow.last_ms.get()) > FLOW_IDLE_MS;
--- a/src/quic/balancer.rs
+++ b/src/quic/balancer.rs
@@ -199,7 +199,7 @@
             return Ok(route.host);
         }
         self.control.metrics.openers.inc();
-        suspicion.sent(route.host, now_ms);
+        suspicion.record_sent(route.host, now_ms);
         // The opener that makes its owner suspected goes to the runner-up already.
         steering::steer(&store, &suspicion, service, packet, now_ms).map(|route| route.host)
     }
@@ -267,7 +267,7 @@
     }
 
     fn note_agent(&self, host: Ipv4Addr, revision: Revision) {
-        self.control.suspicion.borrow_mut().answered(host);
+        self.control.suspicion.borrow_mut().record_answer(host);
         self.chaser.saw(host, revision);
         let mut agents = self.agents.borrow_mut();
         if let Err(index) = agents.binary_search(&host) {
--- a/src/quic/flow.rs
+++ b/src/quic/flow.rs
@@ -71,7 +71,7 @@
     let admission = target.admission.borrow();
     let opener_hash = hash::bytes_hash(&incoming.orig_dst_cid());
     let now_ms = agent.control.now_ms();
-    if let Some(Decision::Refuse(code)) = admission.recall(opener_hash, now_ms) {
+    if let Some(Decision::Refuse(code)) = admission.remembered_decision(opener_hash, now_ms) {
         return Some(code);
     }
     let store = agent.control.store.borrow();
--- a/src/quic/health.rs
+++ b/src/quic/health.rs
@@ -1,6 +1,6 @@
 //! What the outcomes of requests say about a backend server, whose own word may mislead.
 
-use crate::decisions::load_board::FULL_SHARE_PERMILLE;
+use crate::decisions::peer_loads::FULL_SHARE_PERMILLE;
 
 const WEIGHT_OF_NEW: f64 = 0.1;
 const FAILING_RATE: f64 = 0.5;
--- a/src/quic/load_exchange.rs
+++ b/src/quic/load_exchange.rs
@@ -6,7 +6,7 @@
 use rand::seq::IteratorRandom;
 
 use crate::config::service_id::ServiceId;
-use crate::decisions::load_board::LoadReport;
+use crate::decisions::peer_loads::LoadReport;
 use crate::quic::agent::Agent;
 use crate::quic::target::Target;
 
@@ -58,7 +58,7 @@
         Err(_) => {
             let now_ms = agent.control.now_ms();
             agent.control.suspicion.borrow_mut().suspect(peer, now_ms);
-            target.board.borrow_mut().forget(peer);
+            target.peer_loads.borrow_mut().remove(peer);
         }
     }
 }
@@ -78,7 +78,10 @@
 }
 
 fn reports(agent: &Agent, target: &Target) -> Vec<LoadReport> {
-    let mut reports = target.board.borrow().reports(agent.control.now_ms());
+    let mut reports = target
+        .peer_loads
+        .borrow()
+        .fresh_reports(agent.control.now_ms());
     reports.push(target.report());
     reports
 }
@@ -89,10 +92,10 @@
     let Some(table) = store.table(target.service) else {
         return;
     };
-    let mut board = target.board.borrow_mut();
+    let mut peer_loads = target.peer_loads.borrow_mut();
     for report in reports {
         if report.host != target.host && table.row_on(report.host).is_some() {
-            board.merge(*report, now_ms);
+            peer_loads.merge(*report, now_ms);
         }
     }
 }
--- a/src/quic/move_request.rs
+++ b/src/quic/move_request.rs
@@ -6,7 +6,7 @@
 use http::HeaderMap;
 
 use crate::code::Code;
-use crate::decisions::load_board::LoadReport;
+use crate::decisions::peer_loads::LoadReport;
 use crate::links::peer_request::{MAX_MOVED_BODY_BYTES, PeerAnswer, PeerRequest};
 use crate::links::peers::OfferReply;
 use crate::quic::answer::{Answer, AnswerBody};
@@ -61,7 +61,7 @@
     let now_ms = context.agent.control.now_ms();
     let store = context.agent.control.store.borrow();
     let suspicion = context.agent.control.suspicion.borrow();
-    let board = context.target.board.borrow();
+    let peer_loads = context.target.peer_loads.borrow();
     let Some(table) = store.table(context.target.service) else {
         return Vec::new();
     };
@@ -72,7 +72,7 @@
     let trusted = others.filter(|row| !suspicion.is_suspected(row.host, now_ms));
     let mut peers: Vec<(f64, Ipv4Addr)> = trusted
         .filter(|row| row.weight > 0)
-        .filter_map(|row| match board.fresh(row.host, now_ms) {
+        .filter_map(|row| match peer_loads.fresh_load(row.host, now_ms) {
             Some(known) if !has_free_slot(&known.report, row.slots) => None,
             Some(known) => Some((
                 f64::from(known.report.busy_slots) / f64::from(row.slots),
--- a/src/quic/peer_service.rs
+++ b/src/quic/peer_service.rs
@@ -8,9 +8,9 @@
 use crate::config::sealed_id::SealedBytes;
 use crate::config::service_id::ServiceId;
 use crate::controllers::node_server::{NodeHooks, refused_answer};
-use crate::decisions::ledger::Begin;
+use crate::decisions::ledger::BeginOutcome;
 use crate::decisions::slot_queue::SlotGuard;
-use crate::decisions::slots::{MIN_RETRY_MS, Refusal};
+use crate::decisions::slots::{MIN_RETRY_AFTER_MS, Refusal};
 use crate::links::peer_request::{PeerAnswer, PeerRequest};
 use crate::links::peers::OfferReply;
 use crate::quic::agent::Agent;
@@ -46,17 +46,17 @@
 
 fn offer(agent: &Agent, service: ServiceId, timeout_ms: u32) -> OfferReply {
     let Some(target) = agent.target(service) else {
-        return refuse(Code::NoTarget, MIN_RETRY_MS);
+        return refuse(Code::NoTarget, MIN_RETRY_AFTER_MS);
     };
     if target.share_permille() == 0 {
-        return refuse(Code::Draining, MIN_RETRY_MS);
+        return refuse(Code::Draining, MIN_RETRY_AFTER_MS);
     }
     let now_ms = agent.control.now_ms();
     let Some(slot) = target.slots.try_acquire(now_ms + u64::from(timeout_ms)) else {
         return refuse(Code::Overloaded, target.slots.retry_after_ms());
     };
     let Some(ticket) = agent.issue_ticket(&target) else {
-        return refuse(Code::NoTarget, MIN_RETRY_MS);
+        return refuse(Code::NoTarget, MIN_RETRY_AFTER_MS);
     };
     target.reservations.borrow_mut().push(Reservation {
         ticket,
@@ -94,9 +94,9 @@
     let digest = request_spec::digest(&request.method, &request.path, &request.headers);
     let begin = target.ledger.borrow_mut().begin(id.nonce, digest);
     let answer = match begin {
-        Begin::Run => run_begun(agent, &target, id.nonce, &ticket, request).await,
-        Begin::Stop(code) => Answer::refusal(code, target.slots.retry_after_ms()),
-        Begin::Answered(kept) => run_once::kept_answer(kept),
+        BeginOutcome::Run => run_begun(agent, &target, id.nonce, &ticket, request).await,
+        BeginOutcome::Reject(code) => Answer::refusal(code, target.slots.retry_after_ms()),
+        BeginOutcome::Answered(kept) => run_once::kept_answer(kept),
     };
     into_peer_answer(answer)
 }
--- a/src/quic/repeatable.rs
+++ b/src/quic/repeatable.rs
@@ -57,7 +57,11 @@
     if health.is_failing() && !health.take_probe(context.agent.control.now_ms()) {
         return Place::PeerOnly;
     }
-    let moves = context.target.move_share.borrow().moves(&mut rand::rng());
+    let moves = context
+        .target
+        .moved_fraction
+        .borrow()
+        .should_move(&mut rand::rng());
     if context.target.slots.has_free() && !moves {
         return Place::Here;
     }
@@ -103,7 +107,7 @@
     outcome: Outcome,
     whole: Option<&Bytes>,
 ) -> Answer {
-    if context.target.budget.borrow_mut().withdraw()
+    if context.target.budget.borrow_mut().try_withdraw()
         && let Some(answer) = try_move(context, whole).await
     {
         return answer;
--- a/src/quic/run_once.rs
+++ b/src/quic/run_once.rs
@@ -7,7 +7,7 @@
 
 use crate::code::Code;
 use crate::config::sealed_id::{SealedBytes, SealedId};
-use crate::decisions::ledger::{Begin, KeptAnswer};
+use crate::decisions::ledger::{BeginOutcome, KeptAnswer};
 use crate::decisions::slot_queue::SlotGuard;
 use crate::decisions::slots::Refusal;
 use crate::links::peer_request::MAX_MOVED_BODY_BYTES;
@@ -66,9 +66,9 @@
         .borrow_mut()
         .begin(counter, context.spec.digest);
     match begin {
-        Begin::Run => begin_run(context, counter, body).await,
-        Begin::Answered(kept) => kept_answer(kept),
-        Begin::Stop(code) => stopped(context, code),
+        BeginOutcome::Run => begin_run(context, counter, body).await,
+        BeginOutcome::Answered(kept) => kept_answer(kept),
+        BeginOutcome::Reject(code) => stopped(context, code),
     }
 }
 
@@ -158,13 +158,16 @@
 
     pub(crate) fn refuse(mut self, refusal: Refusal) -> Answer {
         self.concluded = true;
-        self.target.ledger.borrow_mut().refuse(self.counter);
+        self.target.ledger.borrow_mut().record_refusal(self.counter);
         refusal.into()
     }
 
     pub(crate) fn lose(mut self, code: Code) -> Answer {
         self.concluded = true;
-        self.target.ledger.borrow_mut().lose(self.counter, code);
+        self.target
+            .ledger
+            .borrow_mut()
+            .record_unknown_outcome(self.counter, code);
         Answer::refusal(code, 0)
     }
 
@@ -186,7 +189,7 @@
         self.target
             .ledger
             .borrow_mut()
-            .finish(self.counter, Some(kept));
+            .record_answer(self.counter, Some(kept));
         move_request::whole_answer(answer)
     }
 
@@ -209,7 +212,7 @@
     fn drop(&mut self) {
         if !self.concluded {
             let mut ledger = self.target.ledger.borrow_mut();
-            ledger.lose(self.counter, Code::OutcomeUnknown);
+            ledger.record_unknown_outcome(self.counter, Code::OutcomeUnknown);
         }
     }
 }
--- a/src/quic/steering.rs
+++ b/src/quic/steering.rs
@@ -64,10 +64,10 @@
 ) -> Result<Ipv4Addr> {
     let table = store.table(service);
     let table = table.ok_or_else(|| Error::new(Code::ServiceUnknown, service.to_string()))?;
-    let chosen = placement::candidates(table, opener_hash, |row| {
+    let chosen = placement::place_opener(table, opener_hash, |row| {
         !suspicion.is_suspected(row.host, now_ms)
     });
-    let chosen = chosen.or_else(|| placement::candidates(table, opener_hash, |_| true));
+    let chosen = chosen.or_else(|| placement::place_opener(table, opener_hash, |_| true));
     let chosen = chosen.ok_or_else(|| Error::new(Code::HostUnknown, table.service.clone()))?;
-    Ok(chosen.first.host)
+    Ok(chosen.owner.host)
 }
--- a/src/quic/target.rs
+++ b/src/quic/target.rs
@@ -11,8 +11,8 @@
 use crate::config::table::{Row, Table};
 use crate::decisions::admission::Admission;
 use crate::decisions::ledger::{LEDGER_ENTRIES, Ledger};
-use crate::decisions::load_board::{LoadBoard, LoadReport};
-use crate::decisions::move_share::{BusyStanding, MoveShare};
+use crate::decisions::moved_fraction::{MovedFraction, SlotLoad};
+use crate::decisions::peer_loads::{LoadReport, PeerLoads};
 use crate::decisions::retry_budget::RetryBudget;
 use crate::decisions::slot_queue::SlotQueue;
 use crate::process::clock::Clock;
@@ -32,9 +32,9 @@
     pub(crate) connections: Cell<u32>,
     pub(crate) slots: Rc<SlotQueue>,
     pub(crate) admission: RefCell<Admission>,
-    pub(crate) board: RefCell<LoadBoard>,
+    pub(crate) peer_loads: RefCell<PeerLoads>,
     pub(crate) health: RefCell<Health>,
-    pub(crate) move_share: RefCell<MoveShare>,
+    pub(crate) moved_fraction: RefCell<MovedFraction>,
     pub(crate) ledger: RefCell<Ledger>,
     pub(crate) budget: RefCell<RetryBudget>,
     pub(crate) drain: DrainSignal,
@@ -63,9 +63,9 @@
             connections: Cell::new(row.connections),
             slots: SlotQueue::new(row.slots, clock),
             admission: RefCell::new(Admission::new(row.host, clock.now_ms())),
-            board: RefCell::default(),
+            peer_loads: RefCell::default(),
             health: RefCell::default(),
-            move_share: RefCell::default(),
+            moved_fraction: RefCell::default(),
             ledger: RefCell::new(Ledger::new(LEDGER_ENTRIES)),
             budget: RefCell::default(),
             drain: DrainSignal::new(),
@@ -128,7 +128,7 @@
             busy_slots: self.slots.busy().min(u32::from(u16::MAX)) as u16,
             age_cs: 0,
             share_permille: self.share_permille(),
-            busy_centislots: (self.move_share.borrow().busy_slots() * 100.0) as u16,
+            busy_centislots: (self.moved_fraction.borrow().busy_slots() * 100.0) as u16,
         }
     }
 
@@ -137,29 +137,29 @@
         let busy_slots = self.slots.take_busy_ms() as f64 / span_ms as f64;
         let weight = table.row_on(self.host).map_or(0, |row| row.weight);
         let (_, standings) = self.busy_peers(table);
-        let mut move_share = self.move_share.borrow_mut();
-        move_share.observe(busy_slots);
-        move_share.adjust(f64::from(weight), &standings);
+        let mut moved_fraction = self.moved_fraction.borrow_mut();
+        moved_fraction.observe(busy_slots);
+        moved_fraction.adjust(f64::from(weight), &standings);
     }
 
     /// Draws the peer for a request that moves to level the busy slots.
     pub(crate) fn draw_peer(&self, table: &Table) -> Option<Ipv4Addr> {
         let weight = table.row_on(self.host)?.weight;
         let (hosts, standings) = self.busy_peers(table);
-        let move_share = self.move_share.borrow();
-        let drawn = move_share.draw(f64::from(weight), &standings, &mut rand::rng())?;
+        let moved_fraction = self.moved_fraction.borrow();
+        let drawn = moved_fraction.pick_peer(f64::from(weight), &standings, &mut rand::rng())?;
         Some(hosts[drawn])
     }
 
     /// Returns the hosts of peers whose load is known, and their busy slots in the same order.
-    fn busy_peers(&self, table: &Table) -> (Vec<Ipv4Addr>, Vec<BusyStanding>) {
-        let board = self.board.borrow();
+    fn busy_peers(&self, table: &Table) -> (Vec<Ipv4Addr>, Vec<SlotLoad>) {
+        let peer_loads = self.peer_loads.borrow();
         let now_ms = self.clock.now_ms();
         let standing = |row: &Row| {
-            let report = board.fresh(row.host, now_ms)?.report;
+            let report = peer_loads.fresh_load(row.host, now_ms)?.report;
             let weight = f64::from(row.weight) * f64::from(report.share_permille) / 1_000.0;
             let busy_slots = f64::from(report.busy_centislots) / 100.0;
-            Some((row.host, BusyStanding { busy_slots, weight }))
+            Some((row.host, SlotLoad { busy_slots, weight }))
         };
         let others = table.rows.iter().filter(|row| row.host != self.host);
         others.filter_map(standing).unzip()
@@ -189,11 +189,11 @@
             "queued": self.slots.queued(),
             "service_ms": self.slots.service_ms(),
             "share_permille": self.share_permille(),
-            "mean_busy_slots": self.move_share.borrow().busy_slots(),
-            "moved_fraction": self.move_share.borrow().fraction(),
+            "mean_busy_slots": self.moved_fraction.borrow().busy_slots(),
+            "moved_fraction": self.moved_fraction.borrow().fraction(),
             "draining": self.is_draining(),
             "ledger_entries": self.ledger.borrow().len(),
-            "peers": self.board.borrow().reports(now_ms),
+            "peers": self.peer_loads.borrow().fresh_reports(now_ms),
         })
     }
 }
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -4,8 +4,8 @@
 
 use common::{host, report, table, table_text};
 use endivedyke::{
-    Admission, BusyStanding, Code, Decision, Handed, Health, LoadBoard, MoveShare, Opener,
-    REPORT_MAX_AGE_MS, Table,
+    Admission, Code, Decision, Health, MovedFraction, Opener, OpenerSource, PeerLoads,
+    REPORT_MAX_AGE_MS, SlotLoad, Table,
 };
 use proptest::prelude::*;
 use rand::SeedableRng;
@@ -14,7 +14,7 @@
 fn opener(hash: u64) -> Opener {
     Opener {
         hash,
-        handed: Handed::ByBalancer,
+        source: OpenerSource::Balancer,
         health_permille: 1_000,
     }
 }
@@ -25,12 +25,12 @@
     admission
 }
 
-fn board(open_flows: &[u32]) -> LoadBoard {
-    let mut board = LoadBoard::default();
+fn peer_loads(open_flows: &[u32]) -> PeerLoads {
+    let mut peer_loads = PeerLoads::default();
     for (index, flows) in open_flows.iter().enumerate() {
-        board.merge(report(index + 1, 1, *flows), NOW_MS);
+        peer_loads.merge(report(index + 1, 1, *flows), NOW_MS);
     }
-    board
+    peer_loads
 }
 
 const NOW_MS: u64 = 100_000;
@@ -38,7 +38,7 @@
 
 fn decide(flows: u32, table: &Table, peers: &[u32], opener: &Opener) -> Decision {
     let mut random = StdRng::seed_from_u64(1);
-    admission_with(flows).decide(opener, table, &mut board(peers), NOW_MS, &mut random)
+    admission_with(flows).decide(opener, table, &mut peer_loads(peers), NOW_MS, &mut random)
 }
 
 #[test]
@@ -72,7 +72,7 @@
         Decision::Refuse(Code::NoTarget)
     );
     let handed_on = Opener {
-        handed: Handed::ByOwner,
+        source: OpenerSource::DeflectingOwner,
         ..opener(1)
     };
     assert_eq!(decide(10, &full, &[0], &handed_on), Decision::Return);
@@ -82,7 +82,7 @@
         "handed on only once"
     );
     let returned = Opener {
-        handed: Handed::Returned,
+        source: OpenerSource::ReturningPeer,
         ..opener(1)
     };
     assert_eq!(
@@ -118,7 +118,13 @@
     let mut draining = admission_with(0);
     draining.set_draining(true);
     let table = table(&[100, 100]);
-    let decision = draining.decide(&opener(1), &table, &mut board(&[50]), NOW_MS, &mut random);
+    let decision = draining.decide(
+        &opener(1),
+        &table,
+        &mut peer_loads(&[50]),
+        NOW_MS,
+        &mut random,
+    );
     assert_eq!(decision, Decision::Deflect(host(1)));
 }
 
@@ -127,15 +133,15 @@
     let mut random = StdRng::seed_from_u64(1);
     let table = table(&[100, 100, 100]);
     let mut admission = admission_with(200);
-    let mut board = board(&[100, 100]);
-    let first = admission.decide(&opener(7), &table, &mut board, NOW_MS, &mut random);
+    let mut peer_loads = peer_loads(&[100, 100]);
+    let first = admission.decide(&opener(7), &table, &mut peer_loads, NOW_MS, &mut random);
     for _ in 0..20 {
         admission.flow_closed();
-        let again = admission.decide(&opener(7), &table, &mut board, NOW_MS, &mut random);
+        let again = admission.decide(&opener(7), &table, &mut peer_loads, NOW_MS, &mut random);
         assert_eq!(first, again);
     }
-    assert_eq!(admission.recall(7, NOW_MS), Some(first));
-    assert_eq!(admission.recall(7, NOW_MS + 10_000), None);
+    assert_eq!(admission.remembered_decision(7, NOW_MS), Some(first));
+    assert_eq!(admission.remembered_decision(7, NOW_MS + 10_000), None);
 }
 
 #[test]
@@ -143,19 +149,19 @@
     let mut random = StdRng::seed_from_u64(1);
     let table = table(&[100, 100]);
     let mut admission = admission_with(200);
-    let mut board = board(&[100]);
-    let first = admission.decide(&opener(7), &table, &mut board, NOW_MS, &mut random);
+    let mut peer_loads = peer_loads(&[100]);
+    let first = admission.decide(&opener(7), &table, &mut peer_loads, NOW_MS, &mut random);
     assert_eq!(first, Decision::Deflect(host(1)));
-    board.returned_flow(host(1));
+    peer_loads.record_returned_opener(host(1));
     let returned = Opener {
-        handed: Handed::Returned,
+        source: OpenerSource::ReturningPeer,
         ..opener(7)
     };
-    let second = admission.decide(&returned, &table, &mut board, NOW_MS, &mut random);
+    let second = admission.decide(&returned, &table, &mut peer_loads, NOW_MS, &mut random);
     assert_eq!(second, Decision::Accept);
-    let again = admission.decide(&opener(7), &table, &mut board, NOW_MS, &mut random);
+    let again = admission.decide(&opener(7), &table, &mut peer_loads, NOW_MS, &mut random);
     assert_eq!(again, Decision::Accept, "later datagrams of it stay here");
-    let next = admission.decide(&opener(8), &table, &mut board, NOW_MS, &mut random);
+    let next = admission.decide(&opener(8), &table, &mut peer_loads, NOW_MS, &mut random);
     assert_eq!(
         next,
         Decision::Accept,
@@ -168,8 +174,9 @@
     let mut random = StdRng::seed_from_u64(1);
     let table = table(&[100, 100]);
     let mut admission = admission_with(200);
-    let mut board = board(&[100]);
-    let mut decide = |now_ms| admission.decide(&opener(7), &table, &mut board, now_ms, &mut random);
+    let mut peer_loads = peer_loads(&[100]);
+    let mut decide =
+        |now_ms| admission.decide(&opener(7), &table, &mut peer_loads, now_ms, &mut random);
     assert_eq!(decide(NOW_MS), Decision::Deflect(host(1)));
     assert_eq!(
         decide(NOW_MS + 100),
@@ -209,21 +216,21 @@
 
 #[test]
 fn late_reports_never_replace_newer_ones_nor_come_back() {
-    let mut board = LoadBoard::default();
-    assert!(board.merge(report(1, 5, 50), 0));
-    assert!(!board.merge(report(1, 4, 40), 1), "crossed on the way");
+    let mut peer_loads = PeerLoads::default();
+    assert!(peer_loads.merge(report(1, 5, 50), 0));
+    assert!(!peer_loads.merge(report(1, 4, 40), 1), "crossed on the way");
     assert!(
-        !board.merge(report(1, 5, 50), LATE_MS),
+        !peer_loads.merge(report(1, 5, 50), LATE_MS),
         "passed on by a peer after it expired"
     );
-    assert!(board.fresh(host(1), LATE_MS).is_none());
+    assert!(peer_loads.fresh_load(host(1), LATE_MS).is_none());
     let mut restarted = report(1, 1, 3);
     restarted.incarnation = 2;
-    assert!(board.merge(restarted, LATE_MS + 1));
-    board.sent_flow(host(1));
+    assert!(peer_loads.merge(restarted, LATE_MS + 1));
+    peer_loads.record_deflected_flow(host(1));
     assert_eq!(
-        board
-            .fresh(host(1), LATE_MS + 1)
+        peer_loads
+            .fresh_load(host(1), LATE_MS + 1)
             .map(|known| known.report.open_flows),
         Some(4)
     );
@@ -239,15 +246,15 @@
     ) {
         let text = table_text("s", &[100, 100, 100, 100], connections);
         let table = Table::parse(&text).expect("sound");
-        let mut board = board(&beliefs);
+        let mut peer_loads = peer_loads(&beliefs);
         let mut admission = admission_with(0);
         let mut random = StdRng::seed_from_u64(3);
         let mut accepted: Vec<u64> = Vec::new();
         let mut seen: Vec<u64> = Vec::new();
         for (hash, deflected) in openers {
-            let handed = if deflected { Handed::ByOwner } else { Handed::ByBalancer };
-            let opener = Opener { hash, handed, health_permille: 1_000 };
-            let decision = admission.decide(&opener, &table, &mut board, NOW_MS, &mut random);
+            let source = if deflected { OpenerSource::DeflectingOwner } else { OpenerSource::Balancer };
+            let opener = Opener { hash, source, health_permille: 1_000 };
+            let decision = admission.decide(&opener, &table, &mut peer_loads, NOW_MS, &mut random);
             if decision == Decision::Accept && !accepted.contains(&hash) {
                 accepted.push(hash);
                 admission.flow_opened();
@@ -266,14 +273,14 @@
     // What callers ask of each target, in slots; the third has twice the weight of the others.
     let asked = [3.0, 1.0, 2.0];
     let weights = [100.0, 100.0, 200.0];
-    let mut shares: Vec<MoveShare> = (0..3).map(|_| MoveShare::default()).collect();
+    let mut shares: Vec<MovedFraction> = (0..3).map(|_| MovedFraction::default()).collect();
     let mut busy = asked;
     for _ in 0..60 {
         for (share, busy) in shares.iter_mut().zip(busy) {
             share.observe(busy);
         }
-        let standing: Vec<BusyStanding> = (0..3)
-            .map(|index| BusyStanding {
+        let standing: Vec<SlotLoad> = (0..3)
+            .map(|index| SlotLoad {
                 busy_slots: shares[index].busy_slots(),
                 weight: weights[index],
             })
@@ -286,12 +293,13 @@
         };
         busy = asked;
         for index in 0..3 {
-            let (at, peers): (Vec<usize>, Vec<BusyStanding>) = peers(index).into_iter().unzip();
+            let (at, peers): (Vec<usize>, Vec<SlotLoad>) = peers(index).into_iter().unzip();
             shares[index].adjust(weights[index], &peers);
             for _ in 0..200 {
                 let part = asked[index] / 200.0;
-                if shares[index].moves(&mut random)
-                    && let Some(drawn) = shares[index].draw(weights[index], &peers, &mut random)
+                if shares[index].should_move(&mut random)
+                    && let Some(drawn) =
+                        shares[index].pick_peer(weights[index], &peers, &mut random)
                 {
                     busy[index] -= part;
                     busy[at[drawn]] += part;
--- a/tests/early_openers.rs
+++ b/tests/early_openers.rs
@@ -9,12 +9,12 @@
 #[test]
 fn the_newest_copy_of_each_is_offered_and_the_earliest_copies_first() {
     let mut early = EarlyOpeners::default();
-    early.keep(1, 1, "second copy", 1_000);
-    early.keep(2, 0, "first copy", 1_010);
-    early.keep(3, 2, "third copy", 1_000);
-    early.keep(4, 0, "overtaken", 1_000);
-    early.keep(4, 1, "its second copy", 1_020);
-    early.keep(4, 0, "late on its way", 1_025);
+    early.insert(1, 1, "second copy", 1_000);
+    early.insert(2, 0, "first copy", 1_010);
+    early.insert(3, 2, "third copy", 1_000);
+    early.insert(4, 0, "overtaken", 1_000);
+    early.insert(4, 1, "its second copy", 1_020);
+    early.insert(4, 0, "late on its way", 1_025);
     let taken = early.take_if(1_050, |_| true);
     let order = ["first copy", "second copy", "its second copy", "third copy"];
     assert_eq!(packets(&taken), order);
@@ -28,7 +28,7 @@
     for (copy, last_ms) in [(0, 99), (1, 299), (2, 699), (9, 699)] {
         for (after_ms, taken) in [(last_ms, 1), (last_ms + 1, 0)] {
             let mut early = EarlyOpeners::default();
-            early.keep(1, copy, "opener", 1_000);
+            early.insert(1, copy, "opener", 1_000);
             let kept = early.take_if(1_000 + after_ms, |_| true);
             assert_eq!(kept.len(), taken, "copy {copy} after {after_ms} ms");
         }
@@ -38,9 +38,12 @@
 #[test]
 fn what_is_kept_is_bounded() {
     let mut early = EarlyOpeners::default();
-    let kept = (0..10_000).filter(|flow| early.keep(*flow, 0, "opener", 1_000));
+    let kept = (0..10_000).filter(|flow| early.insert(*flow, 0, "opener", 1_000));
     assert_eq!(kept.count(), 4_096);
-    assert!(early.keep(0, 1, "its copy", 1_010), "a copy takes no room");
+    assert!(
+        early.insert(0, 1, "its copy", 1_010),
+        "a copy takes no room"
+    );
     assert_eq!(early.take_if(1_010, |_| true).len(), 4_096);
 }
 
@@ -48,18 +51,18 @@
 fn what_nobody_waits_for_makes_room() {
     let mut early = EarlyOpeners::default();
     for flow in 0..4_096 {
-        early.keep(flow, 0, "opener", 1_000);
+        early.insert(flow, 0, "opener", 1_000);
     }
-    assert!(!early.keep(5_000, 0, "one too many", 1_010));
-    assert!(early.keep(5_000, 0, "a fresh one", 1_100));
+    assert!(!early.insert(5_000, 0, "one too many", 1_010));
+    assert!(early.insert(5_000, 0, "a fresh one", 1_100));
     assert_eq!(packets(&early.take_if(1_110, |_| true)), ["a fresh one"]);
 }
 
 #[test]
 fn what_can_not_be_offered_yet_is_kept_for_its_time() {
     let mut early = EarlyOpeners::default();
-    early.keep(1, 1, "known", 1_000);
-    early.keep(2, 1, "unknown yet", 1_000);
+    early.insert(1, 1, "known", 1_000);
+    early.insert(2, 1, "unknown yet", 1_000);
     let taken = early.take_if(1_010, |packet| *packet == "known");
     assert_eq!(packets(&taken), ["known"]);
     assert_eq!(packets(&early.take_if(1_020, |_| true)), ["unknown yet"]);
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -1,7 +1,7 @@
 //! A request that may not be repeated runs at most once, against a plain version that never forgets.
 
 use bytes::Bytes;
-use endivedyke::{Begin, Code, KeptAnswer, Ledger, MAX_KEPT_ANSWER_BYTES, MAX_KEPT_BYTES};
+use endivedyke::{BeginOutcome, Code, KeptAnswer, Ledger, MAX_KEPT_ANSWER_BYTES, MAX_KEPT_BYTES};
 use proptest::prelude::*;
 
 fn answer(bytes: usize) -> KeptAnswer {
@@ -15,61 +15,66 @@
 #[test]
 fn each_ending_is_final() {
     type End = fn(&mut Ledger, u32);
-    let cases: &[(End, Begin)] = &[
-        (|_, _| {}, Begin::Stop(Code::InProgress)),
+    let cases: &[(End, BeginOutcome)] = &[
+        (|_, _| {}, BeginOutcome::Reject(Code::InProgress)),
         (
-            |ledger, ticket| ledger.refuse(ticket),
-            Begin::Stop(Code::TicketSpent),
+            |ledger, ticket| ledger.record_refusal(ticket),
+            BeginOutcome::Reject(Code::TicketSpent),
         ),
         (
-            |ledger, ticket| ledger.lose(ticket, Code::OutcomeUnknown),
-            Begin::Stop(Code::OutcomeUnknown),
+            |ledger, ticket| ledger.record_unknown_outcome(ticket, Code::OutcomeUnknown),
+            BeginOutcome::Reject(Code::OutcomeUnknown),
         ),
         (
-            |ledger, ticket| ledger.finish(ticket, Some(answer(3))),
-            Begin::Answered(answer(3)),
+            |ledger, ticket| ledger.record_answer(ticket, Some(answer(3))),
+            BeginOutcome::Answered(answer(3)),
         ),
         (
-            |ledger, ticket| ledger.finish(ticket, Some(answer(MAX_KEPT_ANSWER_BYTES + 1))),
-            Begin::Stop(Code::AnswerNotKept),
+            |ledger, ticket| ledger.record_answer(ticket, Some(answer(MAX_KEPT_ANSWER_BYTES + 1))),
+            BeginOutcome::Reject(Code::AnswerNotKept),
         ),
         (
-            |ledger, ticket| ledger.finish(ticket, None),
-            Begin::Stop(Code::AnswerNotKept),
+            |ledger, ticket| ledger.record_answer(ticket, None),
+            BeginOutcome::Reject(Code::AnswerNotKept),
         ),
     ];
     for (end, expected) in cases {
         let mut ledger = Ledger::new(10);
-        let ticket = ledger.issue().expect("a ticket");
-        assert_eq!(ledger.begin(ticket, 9), Begin::Run);
+        let ticket = ledger.issue_ticket().expect("a ticket");
+        assert_eq!(ledger.begin(ticket, 9), BeginOutcome::Run);
         end(&mut ledger, ticket);
         assert_eq!(ledger.begin(ticket, 9), *expected);
-        assert_eq!(ledger.begin(ticket, 8), Begin::Stop(Code::TicketMismatch));
+        assert_eq!(
+            ledger.begin(ticket, 8),
+            BeginOutcome::Reject(Code::TicketMismatch)
+        );
     }
 }
 
 #[test]
 fn tickets_that_were_never_issued_do_not_run() {
     let mut ledger = Ledger::new(10);
-    assert_eq!(ledger.begin(0, 1), Begin::Stop(Code::BadRequest));
+    assert_eq!(ledger.begin(0, 1), BeginOutcome::Reject(Code::BadRequest));
 }
 
 #[test]
 fn tickets_below_the_window_never_run() {
     let mut ledger = Ledger::new(2);
-    let tickets: Vec<u32> = (0..5).map(|_| ledger.issue().expect("a ticket")).collect();
+    let tickets: Vec<u32> = (0..5)
+        .map(|_| ledger.issue_ticket().expect("a ticket"))
+        .collect();
     for ticket in &tickets[1..] {
-        assert_eq!(ledger.begin(*ticket, 1), Begin::Run);
-        ledger.finish(*ticket, None);
+        assert_eq!(ledger.begin(*ticket, 1), BeginOutcome::Run);
+        ledger.record_answer(*ticket, None);
     }
     assert_eq!(ledger.len(), 2);
     assert_eq!(
         ledger.begin(tickets[0], 1),
-        Begin::Stop(Code::TicketExpired)
+        BeginOutcome::Reject(Code::TicketExpired)
     );
     assert_eq!(
         ledger.begin(tickets[1], 1),
-        Begin::Stop(Code::TicketExpired)
+        BeginOutcome::Reject(Code::TicketExpired)
     );
 }
 
@@ -78,13 +83,13 @@
     let buffer = Bytes::from(vec![1; 8_192]);
     let mut ledger = Ledger::new(100_000);
     for _ in 0..5_000 {
-        let ticket = ledger.issue().expect("a ticket");
-        assert_eq!(ledger.begin(ticket, 1), Begin::Run);
+        let ticket = ledger.issue_ticket().expect("a ticket");
+        assert_eq!(ledger.begin(ticket, 1), BeginOutcome::Run);
         let kept = KeptAnswer {
             body: buffer.slice(..MAX_KEPT_ANSWER_BYTES),
             ..answer(0)
         };
-        ledger.finish(ticket, Some(kept));
+        ledger.record_answer(ticket, Some(kept));
     }
     assert!(
         buffer.is_unique(),
@@ -96,8 +101,11 @@
         5_000,
         "the tickets stay known when their answers go"
     );
-    assert_eq!(ledger.begin(0, 1), Begin::Stop(Code::AnswerNotKept));
-    assert!(matches!(ledger.begin(4_999, 1), Begin::Answered(_)));
+    assert_eq!(
+        ledger.begin(0, 1),
+        BeginOutcome::Reject(Code::AnswerNotKept)
+    );
+    assert!(matches!(ledger.begin(4_999, 1), BeginOutcome::Answered(_)));
 }
 
 proptest! {
@@ -111,12 +119,12 @@
         let mut runs = [0u32; 24];
         let mut running: Vec<u32> = Vec::new();
         for _ in 0..24 {
-            ledger.issue();
+            ledger.issue_ticket();
         }
         for (event, ticket) in events {
             match event {
                 0 | 1 => {
-                    if ledger.begin(ticket, 7) == Begin::Run {
+                    if ledger.begin(ticket, 7) == BeginOutcome::Run {
                         runs[ticket as usize] += 1;
                         running.push(ticket);
                     }
@@ -127,9 +135,9 @@
                     }
                     let ended = running.swap_remove(ticket as usize % running.len());
                     match event {
-                        2 => ledger.refuse(ended),
-                        3 => ledger.lose(ended, Code::OutcomeUnknown),
-                        _ => ledger.finish(ended, Some(answer(4))),
+                        2 => ledger.record_refusal(ended),
+                        3 => ledger.record_unknown_outcome(ended, Code::OutcomeUnknown),
+                        _ => ledger.record_answer(ended, Some(answer(4))),
                     }
                 }
             }
--- a/tests/local_facts.rs
+++ b/tests/local_facts.rs
@@ -74,11 +74,11 @@
     let mut suspicion = Suspicion::default();
     let choose = |suspicion: &Suspicion, now_ms| owner(&store, suspicion, service, 77, now_ms);
     let first = choose(&suspicion, 0).expect("an owner");
-    suspicion.sent(first, 0);
-    suspicion.sent(first, ANSWER_TIMEOUT_MS);
+    suspicion.record_sent(first, 0);
+    suspicion.record_sent(first, ANSWER_TIMEOUT_MS);
     assert_eq!(choose(&suspicion, ANSWER_TIMEOUT_MS), Ok(first), "not yet");
     let late_ms = ANSWER_TIMEOUT_MS + 1;
-    suspicion.sent(first, late_ms);
+    suspicion.record_sent(first, late_ms);
     assert_ne!(choose(&suspicion, late_ms), Ok(first));
     assert_eq!(
         choose(&suspicion, late_ms + SUSPICION_MS),
@@ -86,7 +86,7 @@
         "tried again"
     );
     suspicion.suspect(first, late_ms);
-    suspicion.answered(first);
+    suspicion.record_answer(first);
     assert_eq!(
         choose(&suspicion, late_ms),
         Ok(first),
@@ -101,7 +101,7 @@
         "all suspected is nobody suspected"
     );
     suspicion.prune(late_ms + SUSPICION_MS);
-    assert!(suspicion.suspected(late_ms).is_empty());
+    assert!(suspicion.suspected_hosts(late_ms).is_empty());
 }
 
 #[test]
@@ -153,7 +153,7 @@
     let mut retries = 0;
     for _ in 0..1_000 {
         budget.deposit();
-        retries += u32::from(budget.withdraw());
+        retries += u32::from(budget.try_withdraw());
     }
     assert!((90..=102).contains(&retries), "{retries} of 1000");
 }
--- a/tests/offers.rs
+++ b/tests/offers.rs
@@ -2,7 +2,7 @@
 
 use std::net::Ipv4Addr;
 
-use endivedyke::{Candidate, KnownWaits, Offer, TAKES_NONE_MS, choose};
+use endivedyke::{Candidate, Offer, ReportedWaits, TAKES_NONE_WAIT_MS, next_offer};
 
 fn host(index: u8) -> Ipv4Addr {
     Ipv4Addr::new(10, 0, 0, index)
@@ -12,24 +12,24 @@
 #[derive(Debug, Default)]
 struct Flow {
     candidates: Vec<Candidate>,
-    level_ms: f64,
+    mean_wait_ms: f64,
 }
 
 impl Flow {
-    fn at_level(level_ms: f64) -> Self {
+    fn at_level(mean_wait_ms: f64) -> Self {
         Self {
-            level_ms,
+            mean_wait_ms,
             ..Self::default()
         }
     }
 
-    fn with(mut self, is_near: bool, wait_ms: Option<u16>, was_offered: bool) -> Self {
+    fn with(mut self, is_same_zone: bool, wait_ms: Option<u16>, was_offered: bool) -> Self {
         let index = self.candidates.len() as u8 + 1;
         self.candidates.push(Candidate {
             host: host(index),
-            is_near,
+            is_same_zone,
             wait_ms,
-            level_ms: self.level_ms,
+            mean_wait_ms: self.mean_wait_ms,
             was_offered,
         });
         self
@@ -48,7 +48,7 @@
     }
 
     fn offered(&self) -> Option<(u8, bool)> {
-        match choose(&self.candidates)? {
+        match next_offer(&self.candidates)? {
             Offer::MayDecline(host, _) => Some((host.octets()[3], true)),
             Offer::Assigned(host) => Some((host.octets()[3], false)),
         }
@@ -97,12 +97,12 @@
         ),
         (
             "one that takes none goes last",
-            busy().declined(TAKES_NONE_MS).near(Some(900)),
+            busy().declined(TAKES_NONE_WAIT_MS).near(Some(900)),
             Some((2, true)),
         ),
         (
             "the only one",
-            calm().declined(TAKES_NONE_MS),
+            calm().declined(TAKES_NONE_WAIT_MS),
             Some((1, false)),
         ),
         ("none", calm(), None),
@@ -122,27 +122,34 @@
 
 #[test]
 fn a_balancer_does_not_send_a_rush_to_the_one_agent_that_had_room() {
-    let mut waits = KnownWaits::default();
-    waits.heard(host(1), true, 0, 1_000);
-    assert_eq!(waits.get(host(1), 1_001), Some(0));
-    waits.sent(host(1));
-    assert_eq!(waits.get(host(1), 1_002), None, "it may have none by now");
-    waits.heard(host(1), true, 13, 1_003);
-    assert_eq!(waits.get(host(1), 1_004), Some(13));
+    let mut waits = ReportedWaits::default();
+    waits.record(host(1), true, 0, 1_000);
+    assert_eq!(waits.wait_ms(host(1), 1_001), Some(0));
+    waits.record_sent_flow(host(1));
+    assert_eq!(
+        waits.wait_ms(host(1), 1_002),
+        None,
+        "it may have none by now"
+    );
+    waits.record(host(1), true, 13, 1_003);
+    assert_eq!(waits.wait_ms(host(1), 1_004), Some(13));
 }
 
 #[test]
 fn a_word_counts_for_a_moment_and_a_level_for_some() {
-    let mut waits = KnownWaits::default();
+    let mut waits = ReportedWaits::default();
     for index in 1..=40 {
-        waits.heard(host(index), true, 100, 1_000);
-        waits.heard(host(index), true, TAKES_NONE_MS, 1_000);
+        waits.record(host(index), true, 100, 1_000);
+        waits.record(host(index), true, TAKES_NONE_WAIT_MS, 1_000);
     }
-    assert_eq!(waits.get(host(1), 1_050), None);
-    assert!(waits.level_ms(true, 1_000) > 95.0);
-    assert!(waits.level_ms(true, 1_400) < 30.0, "the rush may be over");
+    assert_eq!(waits.wait_ms(host(1), 1_050), None);
+    assert!(waits.mean_wait_ms(true, 1_000) > 95.0);
+    assert!(
+        waits.mean_wait_ms(true, 1_400) < 30.0,
+        "the rush may be over"
+    );
     assert!(
-        waits.level_ms(false, 1_000) < 1.0,
+        waits.mean_wait_ms(false, 1_000) < 1.0,
         "nothing was heard of other zones"
     );
 }
--- a/tests/opaque/message_bounds.rs
+++ b/tests/opaque/message_bounds.rs
@@ -105,7 +105,7 @@
     fn agent_in_order(&self, key: &FlowKey, place: usize) -> Ipv4Addr {
         let table = self.agents.directory.table(ServiceId::of(SERVICE));
         let table = table.expect("a service");
-        endivedyke::ranked(table, key.hash(), |_| true)[place].host
+        endivedyke::rank_targets(table, key.hash(), |_| true)[place].host
     }
 
     /// Fills the places of every second backend server.
--- a/tests/opaque/queue_model.rs
+++ b/tests/opaque/queue_model.rs
@@ -11,7 +11,7 @@
 use std::net::Ipv4Addr;
 
 use endivedyke::opaque::{FlowKey, Forwarder, deadlines};
-use endivedyke::{ServiceId, ranked};
+use endivedyke::{ServiceId, rank_targets};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -302,7 +302,7 @@
             .directory
             .table(ServiceId::of(SERVICE))
             .expect("listed");
-        let order = ranked(table, key.hash(), |_| true);
+        let order = rank_targets(table, key.hash(), |_| true);
         let among = match self.policy {
             Policy::Hash => 1,
             Policy::TwoChoices => 2.min(order.len()),
--- a/tests/opaque/stalls.rs
+++ b/tests/opaque/stalls.rs
@@ -1,7 +1,7 @@
 //! What an agent does while its backend server takes requests and serves none.
 
 use endivedyke::opaque::{Action, FlowKey, Message, MessageKind, deadlines};
-use endivedyke::{LOOK_MS, STALL_PROBE_MS, STALL_RAMP_MS};
+use endivedyke::{RECOVERY_RAMP_MS, STALL_CHECK_INTERVAL_MS, STALL_PROBE_TIMEOUT_MS};
 
 use crate::builder::{
     ACK, AgentUnderTest, BALANCER, CALLED, FIN, PacketSpec, RST, acceptance, bounced, flow,
@@ -123,7 +123,7 @@
             // It waits at the agent, and its caller leaves.
             caller.send(agent, RST, 0);
         }
-        agent.now_ms += LOOK_MS / 2;
+        agent.now_ms += STALL_CHECK_INTERVAL_MS / 2;
         reset.extend(resets(&agent.look_for_stall()));
     }
     reset
@@ -150,7 +150,7 @@
 /// Lets the backend server hang until the agent resets the first flows, and returns these.
 fn hang_until_stalled(agent: &mut AgentUnderTest) -> Vec<FlowKey> {
     begin_to_hang(agent);
-    let mut resets = (1_000..1_100).map(|port| pass(agent, LOOK_MS / 2, port));
+    let mut resets = (1_000..1_100).map(|port| pass(agent, STALL_CHECK_INTERVAL_MS / 2, port));
     resets.find(|reset| !reset.is_empty()).expect("a stall")
 }
 
@@ -272,7 +272,7 @@
             taken.push(port);
         }
     }
-    let most = 2_000 / STALL_PROBE_MS as usize;
+    let most = 2_000 / STALL_PROBE_TIMEOUT_MS as usize;
     assert!((1..=most).contains(&taken.len()), "{}", taken.len());
 }
 
@@ -301,7 +301,7 @@
         let mut caller = known(&mut agent, port);
         caller.request(&mut agent);
         hung.push(caller);
-        agent.now_ms += LOOK_MS / 2;
+        agent.now_ms += STALL_CHECK_INTERVAL_MS / 2;
         agent.look_for_stall();
     }
     for caller in &mut hung {
@@ -310,7 +310,7 @@
     }
     let end_ms = agent.now_ms;
     let mut ports = 5_000..;
-    let steps = [0, STALL_RAMP_MS / 2, STALL_RAMP_MS].map(|passed_ms| {
+    let steps = [0, RECOVERY_RAMP_MS / 2, RECOVERY_RAMP_MS].map(|passed_ms| {
         agent.now_ms = end_ms + passed_ms;
         for port in ports.by_ref().take(20) {
             agent.deliver(&opener(&flow(port), 0));
@@ -337,7 +337,7 @@
         let answer = caller.answer(ANSWER_BYTES);
         agent.backend(answer);
     }
-    agent.now_ms += STALL_RAMP_MS;
+    agent.now_ms += RECOVERY_RAMP_MS;
     agent.look_at_load();
     let mut message = Message::new(MessageKind::Deliver);
     message.host = BALANCER;
@@ -362,7 +362,7 @@
         };
         caller.request(&mut agent);
         agent.backend(bounced(from_caller(&caller.key, spec)));
-        agent.now_ms += LOOK_MS / 2;
+        agent.now_ms += STALL_CHECK_INTERVAL_MS / 2;
         reset.extend(resets(&agent.look_for_stall()));
     }
     assert!(reset.is_empty());
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -3,13 +3,13 @@
 mod common;
 
 use common::table;
-use endivedyke::{Table, candidates};
+use endivedyke::{Table, place_opener};
 use proptest::prelude::*;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
 fn owner(table: &Table, opener_hash: u64) -> Option<&str> {
-    candidates(table, opener_hash, |_| true).map(|chosen| chosen.first.target.as_str())
+    place_opener(table, opener_hash, |_| true).map(|placement| placement.owner.target.as_str())
 }
 
 /// The plain version: each target as many lots as its weight, the highest lot wins.
@@ -92,10 +92,10 @@
     ) {
         prop_assume!(weights.iter().filter(|weight| **weight > 0).count() >= 2);
         let table = table(&weights);
-        let chosen = candidates(&table, opener_hash, |_| true).expect("an owner");
-        let without = candidates(&table, opener_hash, |row| row.target != chosen.first.target);
-        prop_assert_eq!(chosen.second, without.map(|chosen| chosen.first));
-        prop_assert!(chosen.first.weight > 0);
+        let placement = place_opener(&table, opener_hash, |_| true).expect("an owner");
+        let without = place_opener(&table, opener_hash, |row| row.target != placement.owner.target);
+        prop_assert_eq!(placement.runner_up, without.map(|placement| placement.owner));
+        prop_assert!(placement.owner.weight > 0);
     }
 
     #[test]
--- a/tests/slots.rs
+++ b/tests/slots.rs
@@ -1,15 +1,15 @@
 //! Slots are never exceeded, refusals are final and at once, and nobody waits past a deadline.
 
-use endivedyke::{Arrival, Code, RequestId, Slots};
+use endivedyke::{ArrivalOutcome, Code, RequestId, Slots};
 use proptest::prelude::*;
 
 #[test]
 fn refusals_come_at_once_and_say_when_to_come_back() {
     let mut slots = Slots::new(1);
-    assert_eq!(slots.arrive(RequestId(1), 1_000, 0), Arrival::Run);
-    assert_eq!(slots.arrive(RequestId(2), 1_000, 0), Arrival::Queued);
-    assert_eq!(slots.arrive(RequestId(3), 1_000, 0), Arrival::Queued);
-    let Arrival::Refused(refusal) = slots.arrive(RequestId(4), 1_000, 0) else {
+    assert_eq!(slots.arrive(RequestId(1), 1_000, 0), ArrivalOutcome::Run);
+    assert_eq!(slots.arrive(RequestId(2), 1_000, 0), ArrivalOutcome::Queued);
+    assert_eq!(slots.arrive(RequestId(3), 1_000, 0), ArrivalOutcome::Queued);
+    let ArrivalOutcome::Refused(refusal) = slots.arrive(RequestId(4), 1_000, 0) else {
         panic!("the queue is bounded");
     };
     assert_eq!(refusal.code, Code::Overloaded);
@@ -19,15 +19,15 @@
 #[test]
 fn a_request_that_cannot_make_its_deadline_is_refused_on_arrival() {
     let mut slots = Slots::new(1);
-    assert_eq!(slots.arrive(RequestId(1), 1_000, 0), Arrival::Run);
+    assert_eq!(slots.arrive(RequestId(1), 1_000, 0), ArrivalOutcome::Run);
     // 20 ms of waiting and 20 ms of service are assumed before anything is known.
     for (deadline_ms, code) in [(0, Code::Deadline), (39, Code::Deadline)] {
-        let Arrival::Refused(refusal) = slots.arrive(RequestId(2), deadline_ms, 0) else {
+        let ArrivalOutcome::Refused(refusal) = slots.arrive(RequestId(2), deadline_ms, 0) else {
             panic!("deadline {deadline_ms}");
         };
         assert_eq!(refusal.code, code);
     }
-    assert_eq!(slots.arrive(RequestId(3), 40, 0), Arrival::Queued);
+    assert_eq!(slots.arrive(RequestId(3), 40, 0), ArrivalOutcome::Queued);
 }
 
 #[test]
@@ -36,8 +36,8 @@
     slots.arrive(RequestId(1), 1_000, 0);
     slots.arrive(RequestId(2), 500, 0);
     slots.arrive(RequestId(3), 9_000, 0);
-    slots.finished(20);
-    let next = slots.next(5_000);
+    slots.finish(20);
+    let next = slots.dequeue(5_000);
     assert_eq!(next.expired, [RequestId(2)]);
     assert_eq!(next.run, Some(RequestId(3)));
 }
@@ -48,11 +48,11 @@
     slots.arrive(RequestId(1), 9_000, 0);
     slots.arrive(RequestId(2), 9_000, 0);
     slots.arrive(RequestId(3), 60, 0);
-    slots.finished(20);
-    assert_eq!(slots.next(30).run, Some(RequestId(2)));
-    slots.finished(20);
+    slots.finish(20);
+    assert_eq!(slots.dequeue(30).run, Some(RequestId(2)));
+    slots.finish(20);
     assert_eq!(
-        slots.next(50).run,
+        slots.dequeue(50).run,
         Some(RequestId(3)),
         "its deadline has not passed"
     );
@@ -62,15 +62,15 @@
 fn a_lower_limit_lets_running_requests_end() {
     let mut slots = Slots::new(3);
     for id in 1..=3 {
-        assert_eq!(slots.arrive(RequestId(id), 1_000, 0), Arrival::Run);
+        assert_eq!(slots.arrive(RequestId(id), 1_000, 0), ArrivalOutcome::Run);
     }
-    assert_eq!(slots.arrive(RequestId(4), 1_000, 0), Arrival::Queued);
+    assert_eq!(slots.arrive(RequestId(4), 1_000, 0), ArrivalOutcome::Queued);
     slots.set_limit(1);
-    slots.finished(10);
-    assert_eq!(slots.next(0).run, None, "two still run");
-    slots.finished(10);
-    slots.finished(10);
-    assert_eq!(slots.next(0).run, Some(RequestId(4)));
+    slots.finish(10);
+    assert_eq!(slots.dequeue(0).run, None, "two still run");
+    slots.finish(10);
+    slots.finish(10);
+    assert_eq!(slots.dequeue(0).run, Some(RequestId(4)));
 }
 
 proptest! {
@@ -90,15 +90,15 @@
                     next_id += 1;
                     let (id, deadline_ms) = (RequestId(next_id), now_ms + amount);
                     match slots.arrive(id, deadline_ms, now_ms) {
-                        Arrival::Run => running += 1,
-                        Arrival::Queued => waiting.push((id, deadline_ms)),
-                        Arrival::Refused(refusal) => prop_assert!(refusal.retry_after_ms > 0),
+                        ArrivalOutcome::Run => running += 1,
+                        ArrivalOutcome::Queued => waiting.push((id, deadline_ms)),
+                        ArrivalOutcome::Refused(refusal) => prop_assert!(refusal.retry_after_ms > 0),
                     }
                 }
                 2 if running > 0 => {
-                    slots.finished(amount);
+                    slots.finish(amount);
                     running -= 1;
-                    let next = slots.next(now_ms);
+                    let next = slots.dequeue(now_ms);
                     waiting.retain(|(id, _)| !next.expired.contains(id));
                     if let Some(id) = next.run {
                         let index = waiting.iter().position(|(known, _)| *known == id);
--- a/tests/waiting.rs
+++ b/tests/waiting.rs
@@ -1,23 +1,23 @@
 //! Who of those that wait for a slot goes first, and who waits at all.
 
-use endivedyke::{Pace, Prospect, SlotTime, WaitQueue, Waiting};
+use endivedyke::{QueueParams, QueuedItem, ServiceTimeEstimator, WaitEstimate, WaitQueue};
 use proptest::prelude::*;
 
-const PACE: Pace = Pace {
+const PARAMS: QueueParams = QueueParams {
     service_ms: 30.0,
     slots: 2,
     objective_ms: 300,
 };
 
 /// Returns something of a caller that came at a time.
-fn waiting(item: u32, caller: u64, priority: u8, since_ms: u64) -> Waiting<u32> {
-    Waiting {
+fn waiting(item: u32, caller: u64, priority: u8, since_ms: u64) -> QueuedItem<u32> {
+    QueuedItem {
         item,
         caller,
         priority,
         since_ms,
-        objective_ms: PACE.objective_ms,
-        due_ms: since_ms + u64::from(PACE.objective_ms),
+        objective_ms: PARAMS.objective_ms,
+        due_ms: since_ms + u64::from(PARAMS.objective_ms),
         deadline_ms: since_ms + 1_500,
     }
 }
@@ -25,7 +25,7 @@
 /// Returns in which order they are served, all of them at one time.
 fn served(mut queue: WaitQueue<u32>, now_ms: u64) -> Vec<u32> {
     let mut order = Vec::new();
-    while let Some(waiting) = queue.pop_if(&PACE, now_ms, |_| true) {
+    while let Some(waiting) = queue.pop_if(&PARAMS, now_ms, |_| true) {
         order.push(waiting.item);
     }
     order
@@ -74,14 +74,14 @@
         queue.push(waiting(item, u64::from(item), 0, u64::from(item)));
     }
     let first = queue
-        .pop_if(&PACE, 20, |_| true)
+        .pop_if(&PARAMS, 20, |_| true)
         .map(|waiting| waiting.item);
     assert_eq!(first, Some(9));
     while queue.len() > 5 {
-        queue.pop_if(&PACE, 20, |_| true);
+        queue.pop_if(&PARAMS, 20, |_| true);
     }
     let first = queue
-        .pop_if(&PACE, 20, |_| true)
+        .pop_if(&PARAMS, 20, |_| true)
         .map(|waiting| waiting.item);
     assert_eq!(first, Some(0), "a short queue is served by arrival");
 }
@@ -89,7 +89,7 @@
 #[test]
 fn a_longer_objective_does_not_count_as_newer() {
     let mut queue = WaitQueue::default();
-    queue.push(Waiting {
+    queue.push(QueuedItem {
         objective_ms: 1_000,
         due_ms: 1_000,
         ..waiting(0, 0, 0, 0)
@@ -124,7 +124,7 @@
 }
 
 /// A fresh opener behind a few others.
-const FRESH: Prospect = Prospect {
+const FRESH: WaitEstimate = WaitEstimate {
     age_ms: 0,
     attempt_age_ms: 0,
     wait_ms: 100,
@@ -136,11 +136,11 @@
 
 #[test]
 fn an_opener_waits_where_that_may_help_its_caller() {
-    for (name, prospect, waits) in [
+    for (name, estimate, waits) in [
         ("in time", FRESH, true),
         (
             "late, and those before it are served",
-            Prospect {
+            WaitEstimate {
                 wait_ms: 500,
                 ..FRESH
             },
@@ -148,7 +148,7 @@
         ),
         (
             "late, behind one that waits in vain",
-            Prospect {
+            WaitEstimate {
                 wait_ms: 500,
                 longest_wait_ms: 300,
                 ..FRESH
@@ -157,7 +157,7 @@
         ),
         (
             "in time, behind one that waits in vain",
-            Prospect {
+            WaitEstimate {
                 longest_wait_ms: 900,
                 ..FRESH
             },
@@ -165,7 +165,7 @@
         ),
         (
             "after its caller has left",
-            Prospect {
+            WaitEstimate {
                 age_ms: 1_400,
                 ..FRESH
             },
@@ -173,7 +173,7 @@
         ),
         (
             "after its attempt has ended",
-            Prospect {
+            WaitEstimate {
                 attempt_age_ms: 1_350,
                 wait_ms: 280,
                 ..FRESH
@@ -181,22 +181,22 @@
             false,
         ),
     ] {
-        assert_eq!(prospect.waits(), waits, "{name}");
+        assert_eq!(estimate.should_wait(), waits, "{name}");
     }
 }
 
 #[test]
 fn a_service_time_is_that_of_slots_and_not_of_the_queue_before_them() {
-    let mut slots = SlotTime::default();
+    let mut slots = ServiceTimeEstimator::default();
     // Two slots that take 40 ms each, and ten more requests in the server's own queue.
     for answer in 0..200 {
-        slots.changed(12, 2, answer * 20);
-        slots.answered((answer + 1) * 20);
+        slots.set_occupied(12, 2, answer * 20);
+        slots.record_answer((answer + 1) * 20);
     }
     let service_ms = slots.service_ms();
     assert!((39.0..41.0).contains(&service_ms), "{service_ms}");
-    slots.changed(12, 2, 4_000);
-    slots.changed(12, 2, 4_300);
+    slots.set_occupied(12, 2, 4_000);
+    slots.set_occupied(12, 2, 4_300);
     assert!(slots.service_ms() >= 600.0, "no answer for 300 ms");
     assert!(slots.is_stuck());
 }
