--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -1,8 +1,8 @@
-//! An agent's decision about an opener: take it, hand it to a peer, or refuse it.
+//! An agent's decision about an opener: accept it, deflect it to a peer, return it or refuse it.
 //!
-//! Hash owners alone leave an imbalance of about one over the square root of the flows per target.
-//! Agents correct it with new flows only: one that stands above the service's common level hands
-//! openers to peers below theirs. See docs/DESIGN.md, "Deflection".
+//! Placement by hash alone leaves an imbalance of about one over the square root of the flows per
+//! target. Agents correct it with new flows only: an agent whose load per weight is above the mean
+//! of the service deflects openers to peers below the mean. See docs/DESIGN.md, "Deflection".
 
 use std::net::Ipv4Addr;
 
@@ -16,14 +16,16 @@
 
 /// How long a decision about an opener is remembered, in milliseconds: longer than a handshake.
 pub(crate) const DECISION_LIFETIME_MS: u64 = 10_000;
-/// How long a peer may take to answer a deflected opener, in milliseconds: a caller that hears
-/// nothing repeats it after about a second (RFC 9002 section 6.2).
-const DEFLECTION_ANSWER_MS: u64 = 600;
-/// The greatest number of remembered decisions of a target.
+/// How long a peer may take to answer a deflected opener, in milliseconds. A caller that gets no
+/// answer retransmits after about a second (RFC 9002 section 6.2), so that the retransmission finds
+/// the peer timed out.
+const DEFLECTION_TIMEOUT_MS: u64 = 600;
+/// The maximum number of remembered decisions of a target.
 pub(crate) const MAX_DECISIONS: usize = 65_536;
-/// How long a target takes to reach its full share after a start, in milliseconds.
+/// The duration of the slow start: how long after its start a target reaches its full share, in
+/// milliseconds.
 pub const SLOW_START_MS: u64 = 10_000;
-/// The share of a target that has just started, in thousandths.
+/// The share of a target at the beginning of its slow start, in thousandths.
 pub(crate) const SLOW_START_PERMILLE: u16 = 100;
 
 /// What an agent does with an opener.
@@ -31,16 +33,16 @@
 pub enum Decision {
     /// This agent takes the flow.
     Accept,
-    /// The agent on this host is handed the opener.
+    /// The opener is sent on to the agent on this host.
     Deflect(Ipv4Addr),
-    /// The owner gets the opener back, since this agent can't take it.
+    /// The opener is sent back to its owner, since this agent can't take it.
     Return,
-    /// Nobody can take it.
+    /// No agent can take the flow.
     Refuse(Code),
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Remembered {
+struct RememberedDecision {
     opener_hash: u64,
     decision: Decision,
     expires_ms: u64,
@@ -53,24 +55,26 @@
     open_flows: u32,
     draining: bool,
     started_ms: u64,
-    remembered: Vec<Remembered>,
+    /// Sorted by opener hash.
+    decisions: Vec<RememberedDecision>,
     history: FlowHistory,
 }
 
 impl Admission {
-    /// Makes the admission of the target on `host`, which starts cold at `now_ms`.
+    /// Creates the admission of the target on `host`, whose slow start begins at `now_ms`.
     pub fn new(host: Ipv4Addr, now_ms: u64) -> Self {
         Self {
             host,
             open_flows: 0,
             draining: false,
             started_ms: now_ms,
-            remembered: Vec::new(),
+            decisions: Vec::new(),
             history: FlowHistory::default(),
         }
     }
 
-    /// Makes the admission of a target that is warm already.
+    /// Creates the admission of a target that started at time 0, for which [`SLOW_START_MS`] have
+    /// passed.
     pub fn warm(host: Ipv4Addr) -> Self {
         let mut admission = Self::new(host, 0);
         admission.started_ms = 0;
@@ -90,22 +94,22 @@
     /// Counts a flow that has ended.
     pub fn flow_closed(&mut self) {
         self.open_flows = self.open_flows.saturating_sub(1);
-        self.history.closed();
+        self.history.record_closed_flow();
     }
 
-    /// Starts or ends the refusal of all openers.
+    /// Starts or ends a drain, during which the target accepts no openers.
     pub fn set_draining(&mut self, draining: bool) {
         self.draining = draining;
     }
 
-    /// Tells whether openers are refused because the target leaves.
+    /// Returns whether the target is draining.
     pub fn is_draining(&self) -> bool {
         self.draining
     }
 
-    /// Returns the part of its weight that the target takes now, in thousandths.
+    /// Returns the share of its weight that the target takes now, in thousandths.
     ///
-    /// `health_permille` is what the requests' outcomes allow; see [`crate::Health`].
+    /// `health_permille` is the limit set by the outcomes of its requests; see [`crate::Health`].
     pub fn share_permille(&self, health_permille: u16, now_ms: u64) -> u16 {
         if self.draining {
             return 0;
@@ -116,10 +120,10 @@
         ramp.min(health_permille)
     }
 
-    /// Decides about an opener; the same opener gets the same answer while it is remembered.
+    /// Decides about an opener; the same opener gets the same decision while it is remembered.
     ///
-    /// An opener that its owner has handed over is accepted or returned, and one that was returned
-    /// is accepted or refused, so that it makes at most two hops more.
+    /// An opener that its owner deflected is accepted or returned, and one that was returned is
+    /// accepted or refused, so that an opener makes at most two additional hops.
     pub fn decide(
         &mut self,
         opener: &Opener,
@@ -129,7 +133,7 @@
         random: &mut impl Rng,
     ) -> Decision {
         let mut opener = *opener;
-        if let Some(host) = self.unanswered_deflection(&opener, now_ms) {
+        if let Some(host) = self.timed_out_deflection(&opener, now_ms) {
             peer_loads.record_returned_opener(host);
             opener.source = OpenerSource::ReturningPeer;
         }
@@ -140,7 +144,7 @@
             return decision;
         }
         if opener.source == OpenerSource::Balancer {
-            self.history.owned(now_ms);
+            self.history.record_owned_opener(now_ms);
         }
         let decision = self.choose(opener, table, peer_loads, now_ms, random);
         if let Decision::Deflect(host) = decision {
@@ -153,45 +157,46 @@
     /// Returns the remembered decision about an opener.
     pub fn remembered_decision(&self, opener_hash: u64, now_ms: u64) -> Option<Decision> {
         let index = self.position(opener_hash).ok()?;
-        let remembered = &self.remembered[index];
+        let remembered = &self.decisions[index];
         (remembered.expires_ms > now_ms).then_some(remembered.decision)
     }
 
-    /// Returns the peer to which this opener was handed so long ago that a caller which still
-    /// repeats it can't have had an answer from there.
-    fn unanswered_deflection(&self, opener: &Opener, now_ms: u64) -> Option<Ipv4Addr> {
-        let remembered = &self.remembered[self.position(opener.hash).ok()?];
+    /// Returns the peer to which this opener was deflected, if the deflection timed out.
+    ///
+    /// A caller that still retransmits after that has had no answer from the peer.
+    fn timed_out_deflection(&self, opener: &Opener, now_ms: u64) -> Option<Ipv4Addr> {
+        let remembered = &self.decisions[self.position(opener.hash).ok()?];
         let decided_ms = remembered.expires_ms.saturating_sub(DECISION_LIFETIME_MS);
         match remembered.decision {
-            Decision::Deflect(host) if now_ms > decided_ms + DEFLECTION_ANSWER_MS => Some(host),
+            Decision::Deflect(host) if now_ms > decided_ms + DEFLECTION_TIMEOUT_MS => Some(host),
             _ => None,
         }
     }
 
-    /// Drops decisions that are no longer needed.
+    /// Drops expired decisions.
     pub fn prune(&mut self, now_ms: u64) {
-        self.remembered
+        self.decisions
             .retain(|remembered| remembered.expires_ms > now_ms);
     }
 
     fn position(&self, opener_hash: u64) -> Result<usize, usize> {
-        self.remembered
+        self.decisions
             .binary_search_by_key(&opener_hash, |remembered| remembered.opener_hash)
     }
 
     fn remember(&mut self, opener_hash: u64, decision: Decision, now_ms: u64) {
-        if self.remembered.len() >= MAX_DECISIONS {
+        if self.decisions.len() >= MAX_DECISIONS {
             self.prune(now_ms);
         }
-        let entry = Remembered {
+        let entry = RememberedDecision {
             opener_hash,
             decision,
             expires_ms: now_ms + DECISION_LIFETIME_MS,
         };
         match self.position(opener_hash) {
-            Ok(index) => self.remembered[index] = entry,
-            Err(_) if self.remembered.len() >= MAX_DECISIONS => {}
-            Err(index) => self.remembered.insert(index, entry),
+            Ok(index) => self.decisions[index] = entry,
+            Err(_) if self.decisions.len() >= MAX_DECISIONS => {}
+            Err(index) => self.decisions.insert(index, entry),
         }
     }
 
@@ -204,96 +209,111 @@
         random: &mut impl Rng,
     ) -> Decision {
         let row = table.row_on(self.host);
-        let fits = row.is_some_and(|row| self.has_room(row));
+        let has_room = row.is_some_and(|row| self.has_room(row));
         match opener.source {
             OpenerSource::Balancer => {}
             OpenerSource::DeflectingOwner => {
-                return if fits {
+                return if has_room {
                     Decision::Accept
                 } else {
                     Decision::Return
                 };
             }
-            OpenerSource::ReturningPeer => return accept_or(fits, Code::NoTarget),
+            OpenerSource::ReturningPeer => return accept_or_refuse(has_room, Code::NoTarget),
         }
-        let peers = self.peers(table, peer_loads, now_ms);
-        let own = row.filter(|_| fits).map(|row| {
+        let peers = self.available_peers(table, peer_loads, now_ms);
+        let own = row.filter(|_| has_room).map(|row| {
             let share_permille = self.share_permille(opener.health_permille, now_ms);
-            Standing::new(row, self.open_flows, share_permille)
+            TargetLoad::new(row, self.open_flows, share_permille)
         });
         match own.filter(|own| own.weight > 0.0) {
-            Some(own) if !self.corrects(peers.excess(&own), peer_loads, now_ms, random) => {
+            Some(own)
+                if !self.should_deflect(peers.excess_flows(&own), peer_loads, now_ms, random) =>
+            {
                 Decision::Accept
             }
-            Some(own) => match peers.draw_below_level(&own, random) {
+            Some(own) => match peers.draw_below_mean(&own, random) {
                 Some(host) => Decision::Deflect(host),
                 None => Decision::Accept,
             },
             None => match peers
-                .lowest()
-                .or_else(|| self.unknown_peer(opener, table, peer_loads, now_ms))
+                .least_loaded()
+                .or_else(|| self.unreported_peer(opener, table, peer_loads, now_ms))
             {
                 Some(host) => Decision::Deflect(host),
-                None => accept_or(fits, Code::NoTarget),
+                None => accept_or_refuse(has_room, Code::NoTarget),
             },
         }
     }
 
-    /// Returns the peers that take flows now, as they probably stand by now.
-    fn peers(&self, table: &Table, peer_loads: &PeerLoads, now_ms: u64) -> Peers {
+    /// Returns the estimated current loads of the peers that take flows now.
+    fn available_peers(
+        &self,
+        table: &Table,
+        peer_loads: &PeerLoads,
+        now_ms: u64,
+    ) -> AvailablePeers {
         let own_weight = table.row_on(self.host).map_or(0, |row| row.weight);
         let others = table.rows.iter().filter(|row| row.host != self.host);
-        let standing = |row: &Row| {
-            let known = peer_loads.fresh_load(row.host, now_ms)?;
-            self.peer_standing(row, &known, own_weight)
+        let estimated_load = |row: &Row| {
+            let reported = peer_loads.fresh_load(row.host, now_ms)?;
+            self.estimate_peer_load(row, &reported, own_weight)
         };
-        Peers(others.filter_map(standing).collect())
+        AvailablePeers(others.filter_map(estimated_load).collect())
     }
 
-    /// Adds to a peer's report what the hash alone has brought since, by this agent's own count.
+    /// Estimates a peer's load from its report and this agent's own growth since the report.
     ///
-    /// When all flows of a site open anew within seconds, reports are old before they arrive, and
-    /// every peer would seem to stand below. But owners are drawn evenly, so that a peer has grown
-    /// as this agent would have; see docs/DESIGN.md, "Deflection".
-    fn peer_standing(&self, row: &Row, known: &PeerLoad, own_weight: u32) -> Option<Standing> {
-        let report = &known.report;
-        let mut standing = Standing::new(row, report.open_flows, report.share_permille);
+    /// When all flows of a site reopen within seconds, reports are outdated before they arrive, and
+    /// every peer would appear to be below the mean. But the hash spreads openers evenly, so that a
+    /// peer has grown as this agent would have without deflection; see docs/DESIGN.md,
+    /// "Deflection".
+    fn estimate_peer_load(
+        &self,
+        row: &Row,
+        reported: &PeerLoad,
+        own_weight: u32,
+    ) -> Option<TargetLoad> {
+        let report = &reported.report;
+        let mut load = TargetLoad::new(row, report.open_flows, report.share_permille);
         if own_weight > 0 {
             let ratio = f64::from(row.weight) / f64::from(own_weight);
-            let grown = self.history.growth_since(known.measured_ms) * ratio;
-            standing.open_flows = (standing.open_flows + grown).max(0.0);
+            let growth = self.history.growth_since(reported.measured_ms) * ratio;
+            load.open_flows = (load.open_flows + growth).max(0.0);
         }
-        let room = standing.open_flows < f64::from(row.connections);
-        (standing.weight > 0.0 && room).then_some(standing)
+        let has_room = load.open_flows < f64::from(row.connections);
+        (load.weight > 0.0 && has_room).then_some(load)
     }
 
-    /// Decides whether this opener should correct an excess of flows.
+    /// Decides at random whether this opener should be deflected to correct an excess of flows.
     ///
-    /// While reports are old, every opener that arrives would see the same excess and correct it
-    /// again. So the openers expected until the next reports share the correction among them.
-    fn corrects(
+    /// Until new reports arrive, every opener sees the same excess and would correct it again. So
+    /// the correction is spread over the openers that are expected before the next reports.
+    fn should_deflect(
         &self,
-        excess: f64,
+        excess_flows: f64,
         peer_loads: &PeerLoads,
         now_ms: u64,
         random: &mut impl Rng,
     ) -> bool {
-        let expected = self.history.owned_per_ms(now_ms) * peer_loads.mean_report_age_ms(now_ms);
-        excess > 0.0 && random.random_range(0.0..1.0) * expected < excess
+        let expected_openers =
+            self.history.owned_per_ms(now_ms) * peer_loads.mean_report_age_ms(now_ms);
+        excess_flows > 0.0 && random.random_range(0.0..1.0) * expected_openers < excess_flows
     }
 
-    /// Draws a peer of which nothing is known, as after a start: it decides itself.
-    fn unknown_peer(
+    /// Returns a peer whose load is unknown, as after a start; that peer decides about the opener
+    /// itself.
+    fn unreported_peer(
         &self,
         opener: &Opener,
         table: &Table,
         peer_loads: &PeerLoads,
         now_ms: u64,
     ) -> Option<Ipv4Addr> {
-        let unknown =
+        let is_unreported =
             |row: &Row| row.host != self.host && peer_loads.fresh_load(row.host, now_ms).is_none();
-        let chosen = placement::place_opener(table, opener.hash, unknown)?;
-        Some(chosen.owner.host)
+        let placement = placement::place_opener(table, opener.hash, is_unreported)?;
+        Some(placement.owner.host)
     }
 
     fn has_room(&self, row: &Row) -> bool {
@@ -301,45 +321,45 @@
     }
 }
 
-/// Who handed an opener to this agent.
+/// Who sent an opener to this agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OpenerSource {
-    /// A balancer: this agent is its owner.
+    /// A balancer; this agent is the owner of the opener.
     Balancer,
-    /// The owner, which hands it to a peer.
+    /// The owner, which deflected the opener to this agent.
     DeflectingOwner,
-    /// The peer to which this agent, the owner, had handed it.
+    /// A peer, which returned an opener that this agent, its owner, had deflected.
     ReturningPeer,
 }
 
-/// An opener as admission sees it.
+/// What admission has to know of an opener.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Opener {
     /// The hash of the connection id that the caller chose.
     pub hash: u64,
-    /// Who handed it over.
+    /// Who sent the opener to this agent.
     pub source: OpenerSource,
-    /// What the outcomes of the target's requests allow it to take, in thousandths.
+    /// The share that the outcomes of the target's requests allow it to take, in thousandths.
     pub health_permille: u16,
 }
 
-fn accept_or(fits: bool, code: Code) -> Decision {
-    if fits {
+fn accept_or_refuse(has_room: bool, code: Code) -> Decision {
+    if has_room {
         Decision::Accept
     } else {
         Decision::Refuse(code)
     }
 }
 
-/// One target's flows beside the weight that it takes now.
+/// One target's open flows and the weight that it takes now.
 #[derive(Debug, Clone, Copy)]
-struct Standing {
+struct TargetLoad {
     host: Ipv4Addr,
     open_flows: f64,
     weight: f64,
 }
 
-impl Standing {
+impl TargetLoad {
     fn new(row: &Row, open_flows: u32, share_permille: u16) -> Self {
         let share = f64::from(share_permille) / f64::from(FULL_SHARE_PERMILLE);
         Self {
@@ -350,46 +370,49 @@
     }
 }
 
-/// The peers that take flows now.
-struct Peers(Vec<Standing>);
+/// The loads of the peers that take flows now.
+struct AvailablePeers(Vec<TargetLoad>);
 
-impl Peers {
-    /// Returns the flows per weight that all would have if they were level with one flow more.
-    fn level_with(&self, own: &Standing) -> f64 {
+impl AvailablePeers {
+    /// Returns the mean number of flows per weight of all targets, counting the new flow.
+    fn mean_flows_per_weight(&self, own: &TargetLoad) -> f64 {
         let all = || self.0.iter().chain(std::iter::once(own));
-        let flows: f64 = all().map(|standing| standing.open_flows).sum();
-        let weight: f64 = all().map(|standing| standing.weight).sum();
+        let flows: f64 = all().map(|load| load.open_flows).sum();
+        let weight: f64 = all().map(|load| load.weight).sum();
         (flows + 1.0) / weight
     }
 
-    /// Returns by how many flows the target would stand above the level with one flow more.
-    fn excess(&self, own: &Standing) -> f64 {
-        own.open_flows + 1.0 - self.level_with(own) * own.weight - 0.5
+    /// Returns by how many flows the target would be above the mean if it took the new flow.
+    fn excess_flows(&self, own: &TargetLoad) -> f64 {
+        own.open_flows + 1.0 - self.mean_flows_per_weight(own) * own.weight - 0.5
     }
 
-    /// Draws a peer below the level, each in proportion to the flows it lacks, so that agents which
-    /// share a stale view don't all choose the same one.
-    fn draw_below_level(&self, own: &Standing, random: &mut impl Rng) -> Option<Ipv4Addr> {
-        let level = self.level_with(own);
-        let lacking = |peer: &Standing| (level * peer.weight - peer.open_flows).max(0.0);
-        let total: f64 = self.0.iter().map(lacking).sum();
+    /// Draws a peer below the mean with a probability proportional to the flows it lacks, so that
+    /// agents with the same outdated reports don't all choose the same peer.
+    fn draw_below_mean(&self, own: &TargetLoad, random: &mut impl Rng) -> Option<Ipv4Addr> {
+        let mean = self.mean_flows_per_weight(own);
+        let lacking_flows = |peer: &TargetLoad| (mean * peer.weight - peer.open_flows).max(0.0);
+        let total: f64 = self.0.iter().map(lacking_flows).sum();
         if total < 1.0 {
             return None;
         }
         let mut point = random.random_range(0.0..total);
         for peer in &self.0 {
-            let lack = lacking(peer);
-            if point < lack {
+            let lacking = lacking_flows(peer);
+            if point < lacking {
                 return Some(peer.host);
             }
-            point -= lack;
+            point -= lacking;
         }
         None
     }
 
-    fn lowest(&self) -> Option<Ipv4Addr> {
-        let level = |standing: &Standing| standing.open_flows / standing.weight;
-        let lowest = self.0.iter().min_by(|a, b| level(a).total_cmp(&level(b)));
-        lowest.map(|standing| standing.host)
+    fn least_loaded(&self) -> Option<Ipv4Addr> {
+        let flows_per_weight = |load: &TargetLoad| load.open_flows / load.weight;
+        let lowest = self
+            .0
+            .iter()
+            .min_by(|a, b| flows_per_weight(a).total_cmp(&flows_per_weight(b)));
+        lowest.map(|load| load.host)
     }
 }
--- a/src/decisions/early_openers.rs
+++ b/src/decisions/early_openers.rs
@@ -1,78 +1,87 @@
-//! Which openers a balancer keeps until it knows a configuration, and in which order it offers them then.
+//! The buffer of openers that arrive at a balancer before it has a configuration.
 //!
-//! Load pattern: all processes start anew and callers all come at once. A balancer reads its configuration for some
-//! tens of milliseconds. An opener that is dropped meanwhile comes again after 200 ms, which is most of a latency
-//! objective, or never, where it was the last copy. See docs/design/offers.md.
+//! Load pattern: all processes restart and all callers connect at once. A balancer needs some tens
+//! of milliseconds to read its configuration. An opener that is dropped in that time is
+//! retransmitted after 200 ms, which is most of a latency objective, or never, if it was the last
+//! copy. See docs/design/offers.md.
 
-/// How many openers are kept: as many as a balancer watches for answers, and more than come before a configuration.
-const MAX_KEPT: usize = 4_096;
-/// For how long each copy is kept, in milliseconds: up to 100 ms, the time that an agent has to answer, before its
-/// caller sends the next one, which may reach another balancer, or gives the attempt up.
-const KEPT_MS: [u64; 3] = [100, 300, 700];
+/// How many openers are buffered: as many as a balancer watches for answers, and more than arrive
+/// before a configuration does.
+const MAX_BUFFERED: usize = 4_096;
+/// How long each copy is buffered, in milliseconds, by its number: until 100 ms, the time an agent
+/// has to answer, before its caller sends the next copy, which may reach another balancer, or gives
+/// the attempt up.
+const COPY_LIFETIME_MS: [u64; 3] = [100, 300, 700];
 
 #[derive(Debug, Clone)]
-struct Kept<K, T> {
+struct Buffered<K, T> {
     flow: K,
     copy: u32,
     since_ms: u64,
     packet: T,
 }
 
-/// An opener that may be offered now.
+/// A buffered opener that can be offered now.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EarlyOpener<T> {
-    /// What its caller sent.
+    /// The packet that the caller sent.
     pub packet: T,
-    /// For how long it was kept, in milliseconds.
+    /// How long the opener was buffered, in milliseconds.
     pub kept_ms: u64,
 }
 
-/// The newest copy of each opener that came before a configuration, sorted by flow.
+/// The newest copy of each opener that arrived before a configuration, sorted by flow.
 #[derive(Debug)]
 pub struct EarlyOpeners<K, T> {
-    kept: Vec<Kept<K, T>>,
+    buffered: Vec<Buffered<K, T>>,
 }
 
 impl<K, T> Default for EarlyOpeners<K, T> {
     fn default() -> Self {
-        Self { kept: Vec::new() }
+        Self {
+            buffered: Vec::new(),
+        }
     }
 }
 
 impl<K: Ord, T> EarlyOpeners<K, T> {
-    /// Tells whether none is kept.
+    /// Returns whether no opener is buffered.
     pub fn is_empty(&self) -> bool {
-        self.kept.is_empty()
+        self.buffered.is_empty()
     }
 
-    /// Keeps a copy of an opener in place of an earlier one; says whether there was room.
+    /// Buffers a copy of an opener in place of an earlier copy; returns whether there was room.
     pub fn insert(&mut self, flow: K, copy: u32, packet: T, now_ms: u64) -> bool {
-        if self.kept.len() >= MAX_KEPT {
+        if self.buffered.len() >= MAX_BUFFERED {
             self.remove_expired(now_ms);
         }
-        let found = self.kept.binary_search_by(|kept| kept.flow.cmp(&flow));
-        let opener = Kept {
+        let found = self
+            .buffered
+            .binary_search_by(|opener| opener.flow.cmp(&flow));
+        let opener = Buffered {
             flow,
             copy,
             since_ms: now_ms,
             packet,
         };
         match found {
-            Ok(index) if opener.copy < self.kept[index].copy => {}
-            Ok(index) => self.kept[index] = opener,
-            Err(index) if self.kept.len() < MAX_KEPT => self.kept.insert(index, opener),
+            Ok(index) if opener.copy < self.buffered[index].copy => {}
+            Ok(index) => self.buffered[index] = opener,
+            Err(index) if self.buffered.len() < MAX_BUFFERED => self.buffered.insert(index, opener),
             Err(_) => return false,
         }
         true
     }
 
-    /// Forgets copies for which their callers no longer wait.
+    /// Removes copies whose lifetime is over.
     pub fn remove_expired(&mut self, now_ms: u64) {
-        self.kept.retain(|opener| opener.is_awaited(now_ms));
+        self.buffered.retain(|opener| opener.is_alive(now_ms));
     }
 
-    /// Takes out those that can be offered and whose callers still wait for this copy: the earliest copies first, since
-    /// their callers can still be answered in time.
+    /// Removes and returns the live openers that can be offered.
+    ///
+    /// The lowest copy numbers come first, since their callers have waited least and can still be
+    /// answered in time.
     pub fn take_if(
         &mut self,
         now_ms: u64,
@@ -80,7 +89,7 @@
     ) -> Vec<EarlyOpener<T>> {
         self.remove_expired(now_ms);
         let taken = self
-            .kept
+            .buffered
             .extract_if(.., |opener| can_be_offered(&opener.packet));
         let mut taken: Vec<_> = taken.collect();
         taken.sort_by_key(|opener| (opener.copy, opener.since_ms));
@@ -92,9 +101,9 @@
     }
 }
 
-impl<K, T> Kept<K, T> {
-    fn is_awaited(&self, now_ms: u64) -> bool {
-        let copy = (self.copy as usize).min(KEPT_MS.len() - 1);
-        now_ms < self.since_ms + KEPT_MS[copy]
+impl<K, T> Buffered<K, T> {
+    fn is_alive(&self, now_ms: u64) -> bool {
+        let copy = (self.copy as usize).min(COPY_LIFETIME_MS.len() - 1);
+        now_ms < self.since_ms + COPY_LIFETIME_MS[copy]
     }
 }
--- a/src/decisions/ledger.rs
+++ b/src/decisions/ledger.rs
@@ -1,8 +1,9 @@
-//! The record of requests that may run at most once.
+//! The ledger of requests that may run at most once.
 //!
 //! A ticket binds a request to one incarnation of one agent and carries a counter. The ledger of
-//! that incarnation remembers a window of counters; what lies below it never runs, so the memory is
-//! bounded and a request is never doubled. See docs/DESIGN.md, "At most once".
+//! that incarnation records a window of counters. A request whose counter is below the window is
+//! rejected, so that memory is bounded and no request runs twice. See docs/DESIGN.md, "At most
+//! once".
 
 use std::collections::VecDeque;
 
@@ -10,15 +11,16 @@
 
 use crate::code::Code;
 
-/// How many begun tickets a ledger remembers.
+/// How many begun tickets a ledger records.
 pub(crate) const LEDGER_ENTRIES: usize = 100_000;
-/// The largest answer that is kept to be given again, in bytes.
+/// The largest answer that is kept for a repeated request, in bytes.
 pub const MAX_KEPT_ANSWER_BYTES: usize = 4_096;
 
-/// The most bytes of answers that a ledger keeps; the oldest go first, their tickets stay known.
+/// The most bytes of answers that a ledger keeps; above that it drops the oldest answers but keeps
+/// their tickets.
 pub const MAX_KEPT_BYTES: usize = 16 << 20;
 
-/// An answer kept for a caller that asks again with the same ticket.
+/// An answer that is kept for callers that repeat the request with the same ticket.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct KeptAnswer {
     /// The HTTP status.
@@ -29,14 +31,14 @@
     pub body: Bytes,
 }
 
-/// What the ledger says to a request that wants to run.
+/// Whether a request with a ticket may run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum BeginOutcome {
-    /// It is recorded as running and may be handed to the backend server, once.
+    /// It is recorded as running and may be sent to the backend server once.
     Run,
-    /// It does not run; the code says why, and whether it ran before.
+    /// It must not run; the code gives the reason and whether it ran before.
     Reject(Code),
-    /// It ran before, and this was the answer.
+    /// It ran before, with this answer.
     Answered(KeptAnswer),
 }
 
@@ -44,9 +46,10 @@
 enum State {
     Running,
     Refused,
-    Unknown(Code),
+    OutcomeUnknown(Code),
     Answered(KeptAnswer),
-    AnsweredLarge,
+    /// It was answered, but its answer was too large to keep or has been dropped.
+    AnswerNotKept,
 }
 
 #[derive(Debug)]
@@ -60,34 +63,37 @@
 #[derive(Debug)]
 pub struct Ledger {
     next_counter: u32,
-    floor: u32,
+    /// The begin of the window: an unrecorded counter below it has expired.
+    window_start: u32,
     capacity: usize,
+    /// Sorted by counter.
     entries: VecDeque<Entry>,
     kept_bytes: usize,
-    stripped_below: u32,
+    /// The counter below which the answers of finished requests have been dropped.
+    dropped_below: u32,
 }
 
 impl Ledger {
-    /// Makes an empty ledger that remembers `capacity` begun tickets.
+    /// Creates an empty ledger that records `capacity` begun tickets.
     pub fn new(capacity: usize) -> Self {
         Self {
             next_counter: 0,
-            floor: 0,
+            window_start: 0,
             capacity,
             entries: VecDeque::new(),
             kept_bytes: 0,
-            stripped_below: 0,
+            dropped_below: 0,
         }
     }
 
-    /// Returns the counter of a new ticket, or `None` when the incarnation has used all of them.
+    /// Returns the counter of a new ticket, or `None` once the incarnation has issued all counters.
     pub fn issue_ticket(&mut self) -> Option<u32> {
         let counter = self.next_counter;
         self.next_counter = counter.checked_add(1)?;
         Some(counter)
     }
 
-    /// Returns how many begun tickets are remembered.
+    /// Returns how many begun tickets are recorded.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
@@ -97,16 +103,16 @@
         self.kept_bytes
     }
 
-    /// Tells whether no ticket has begun.
+    /// Returns whether no begun ticket is recorded.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Asks whether the request with this ticket and `digest` may run now.
+    /// Records the request with this ticket and `digest` as running, if it may run.
     pub fn begin(&mut self, counter: u32, digest: u64) -> BeginOutcome {
         match self.position(counter) {
-            Ok(index) => begin_again(&self.entries[index], digest),
-            Err(_) if counter < self.floor => BeginOutcome::Reject(Code::TicketExpired),
+            Ok(index) => begin_repeated(&self.entries[index], digest),
+            Err(_) if counter < self.window_start => BeginOutcome::Reject(Code::TicketExpired),
             Err(_) if counter >= self.next_counter => BeginOutcome::Reject(Code::BadRequest),
             Err(index) => {
                 let entry = Entry {
@@ -115,20 +121,20 @@
                     state: State::Running,
                 };
                 self.entries.insert(index, entry);
-                self.trim();
+                self.evict_oldest();
                 BeginOutcome::Run
             }
         }
     }
 
-    /// Records that the request was not run and from now on never will be.
+    /// Records that the request did not run and must not run any more.
     pub fn record_refusal(&mut self, counter: u32) {
         self.set(counter, State::Refused);
     }
 
-    /// Records that nobody can know whether the request ran.
+    /// Records that it can't be known whether the request ran.
     pub fn record_unknown_outcome(&mut self, counter: u32, code: Code) {
-        self.set(counter, State::Unknown(code));
+        self.set(counter, State::OutcomeUnknown(code));
     }
 
     /// Records the answer of a request that ran.
@@ -137,12 +143,12 @@
         let state = match kept {
             Some(answer) if self.position(counter).is_ok() => {
                 self.kept_bytes += answer.body.len();
-                State::Answered(own_memory(answer))
+                State::Answered(copy_body(answer))
             }
-            _ => State::AnsweredLarge,
+            _ => State::AnswerNotKept,
         };
         self.set(counter, state);
-        self.strip();
+        self.drop_oldest_answers();
     }
 
     fn position(&self, counter: u32) -> Result<usize, usize> {
@@ -153,38 +159,39 @@
     fn set(&mut self, counter: u32, state: State) {
         if let Ok(index) = self.position(counter) {
             self.entries[index].state = state;
-            self.trim();
+            self.evict_oldest();
         }
     }
 
-    /// Drops the oldest answers, but not their tickets, until the rest fits.
-    fn strip(&mut self) {
+    /// Drops the oldest answers until the others fit, and keeps their tickets.
+    fn drop_oldest_answers(&mut self) {
         while self.kept_bytes > MAX_KEPT_BYTES {
-            let from = self.stripped_below;
+            let from = self.dropped_below;
             let index = self.entries.partition_point(|entry| entry.counter < from);
             let Some(entry) = self.entries.get_mut(index) else {
-                self.stripped_below = 0;
+                self.dropped_below = 0;
                 continue;
             };
-            self.stripped_below = entry.counter + 1;
+            self.dropped_below = entry.counter + 1;
             self.kept_bytes -= entry.kept_bytes();
             if matches!(entry.state, State::Answered(_)) {
-                entry.state = State::AnsweredLarge;
+                entry.state = State::AnswerNotKept;
             }
         }
     }
 
-    /// Forgets the oldest entries that have ended and raises the floor over them.
+    /// Evicts the oldest ended entries above the capacity and moves the start of the window past
+    /// them.
     ///
-    /// A running entry below the floor stays, and is still found, until it has ended.
-    fn trim(&mut self) {
+    /// A running entry below the window stays recorded until it has ended.
+    fn evict_oldest(&mut self) {
         while self.entries.len() > self.capacity {
-            let ended = |entry: &Entry| entry.state != State::Running;
-            let Some(oldest) = self.entries.iter().position(ended) else {
+            let has_ended = |entry: &Entry| entry.state != State::Running;
+            let Some(oldest) = self.entries.iter().position(has_ended) else {
                 return;
             };
             if let Some(entry) = self.entries.remove(oldest) {
-                self.floor = self.floor.max(entry.counter + 1);
+                self.window_start = self.window_start.max(entry.counter + 1);
                 self.kept_bytes -= entry.kept_bytes();
             }
         }
@@ -200,23 +207,24 @@
     }
 }
 
-/// Copies the body, which may be a small slice of a connection's whole buffer.
-fn own_memory(answer: KeptAnswer) -> KeptAnswer {
+/// Copies the body, since a small slice would keep the whole buffer of its connection alive.
+fn copy_body(answer: KeptAnswer) -> KeptAnswer {
     KeptAnswer {
         body: Bytes::copy_from_slice(&answer.body),
         ..answer
     }
 }
 
-fn begin_again(entry: &Entry, digest: u64) -> BeginOutcome {
+/// Returns the outcome for a ticket that has begun before.
+fn begin_repeated(entry: &Entry, digest: u64) -> BeginOutcome {
     if entry.digest != digest {
         return BeginOutcome::Reject(Code::TicketMismatch);
     }
     match &entry.state {
         State::Running => BeginOutcome::Reject(Code::InProgress),
         State::Refused => BeginOutcome::Reject(Code::TicketSpent),
-        State::Unknown(code) => BeginOutcome::Reject(*code),
+        State::OutcomeUnknown(code) => BeginOutcome::Reject(*code),
         State::Answered(answer) => BeginOutcome::Answered(answer.clone()),
-        State::AnsweredLarge => BeginOutcome::Reject(Code::AnswerNotKept),
+        State::AnswerNotKept => BeginOutcome::Reject(Code::AnswerNotKept),
     }
 }
--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -1,8 +1,8 @@
-//! The choices of the product as plain structs that are told the time and do no input or output:
-//! placement, admission, slots, suspicion, what ran once.
+//! Placement, admission, slot queues, failure detection and the at-most-once ledger.
 //!
-//! The rule that lives here: limits of the table are hard, and what may not run twice does not. Only values
-//! of `config` are used.
+//! Except for [`slot_queue`], these are plain structs that do no input or output: callers pass in
+//! the current time and a random source. The limits of the table are hard, and a request that must
+//! not run twice never does. Only types of `config` are used, and the clock of `process`.
 
 pub(crate) mod admission;
 pub(crate) mod early_openers;
--- a/src/decisions/moved_fraction.rs
+++ b/src/decisions/moved_fraction.rs
@@ -1,20 +1,21 @@
-//! Which part of its requests an agent runs at peers, so that busy slots follow the table.
+//! The fraction of its requests that an agent moves to peers, so that busy slots follow the weights
+//! of the table.
 //!
-//! Flows are level by admission, but their callers don't ask equally often. A request has no memory,
-//! so it can move where a flow can't. See docs/DESIGN.md, "Busy slots".
+//! Admission balances flows, but some callers send more requests than others. A flow stays where it
+//! is, but a request has no state and can be moved. See docs/DESIGN.md, "Busy slots".
 
 use rand::Rng;
 
-/// The part of the error that one adjustment makes up for.
+/// The part of the error that one adjustment corrects.
 const GAIN: f64 = 0.3;
-/// The greatest part of the requests that moves.
+/// The largest fraction of the requests that is moved.
 const MAX_FRACTION: f64 = 0.5;
-/// Busy slots below which nothing moves, since a slot more or less is chance.
+/// The number of busy slots below which nothing is moved: there, a difference of one slot is noise.
 const MIN_BUSY_SLOTS: f64 = 0.2;
 /// The weight of the newest second in the mean of busy slots.
-const WEIGHT_OF_NEW: f64 = 0.2;
+const NEWEST_WEIGHT: f64 = 0.2;
 
-/// One target's mean busy slots beside its weight.
+/// One target's mean number of busy slots and its weight.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SlotLoad {
     /// The mean number of busy slots of the last seconds.
@@ -23,7 +24,7 @@
     pub weight: f64,
 }
 
-/// The part of the requests that moves, adjusted once a second.
+/// The fraction of the requests that is moved, adjusted once a second.
 #[derive(Debug, Default)]
 pub struct MovedFraction {
     busy_slots: f64,
@@ -31,9 +32,9 @@
 }
 
 impl MovedFraction {
-    /// Takes the mean number of busy slots of the last second.
+    /// Adds the mean number of busy slots of the last second to the moving mean.
     pub fn observe(&mut self, busy_slots: f64) {
-        self.busy_slots += (busy_slots - self.busy_slots) * WEIGHT_OF_NEW;
+        self.busy_slots += (busy_slots - self.busy_slots) * NEWEST_WEIGHT;
     }
 
     /// Returns the mean number of busy slots of the last seconds.
@@ -41,54 +42,59 @@
         self.busy_slots
     }
 
-    /// Returns the part of the requests that moves.
+    /// Returns the fraction of the requests that is moved.
     pub fn fraction(&self) -> f64 {
         self.fraction
     }
 
-    /// Moves more while this target stands above the level of all, less while it stands below.
+    /// Increases the fraction while this target is above the mean of all targets, and decreases it
+    /// while the target is below.
     ///
-    /// What moves is already missing here, so the error is added up instead of applied anew.
+    /// The observed busy slots no longer include the moved requests, so that the error is added to
+    /// the current fraction.
     pub fn adjust(&mut self, weight: f64, peers: &[SlotLoad]) {
-        let level = level(self.busy_slots, weight, peers) * weight;
+        let expected = mean_per_weight(self.busy_slots, weight, peers) * weight;
         if self.busy_slots < MIN_BUSY_SLOTS || peers.is_empty() {
             self.fraction = 0.0;
             return;
         }
-        let error = (self.busy_slots - level) / self.busy_slots;
+        let error = (self.busy_slots - expected) / self.busy_slots;
         self.fraction = (self.fraction + GAIN * error).clamp(0.0, MAX_FRACTION);
     }
 
-    /// Decides whether the next request moves.
+    /// Decides at random whether the next request is moved.
     pub fn should_move(&self, random: &mut impl Rng) -> bool {
         self.fraction > 0.0 && random.random_range(0.0..1.0) < self.fraction
     }
 
-    /// Draws the peer that takes it, each in proportion to what it lacks; returns its index.
+    /// Draws the peer for a moved request and returns its index.
+    ///
+    /// The probability of a peer is proportional to the busy slots that it is below the mean.
     pub fn pick_peer(
         &self,
         weight: f64,
         peers: &[SlotLoad],
         random: &mut impl Rng,
     ) -> Option<usize> {
-        let level = level(self.busy_slots, weight, peers);
-        let lacks: Vec<f64> = peers
+        let mean = mean_per_weight(self.busy_slots, weight, peers);
+        let lacking_slots: Vec<f64> = peers
             .iter()
-            .map(|peer| (level * peer.weight - peer.busy_slots).max(0.0))
+            .map(|peer| (mean * peer.weight - peer.busy_slots).max(0.0))
             .collect();
-        let total: f64 = lacks.iter().sum();
+        let total: f64 = lacking_slots.iter().sum();
         if total <= 0.0 {
             return None;
         }
         let mut point = random.random_range(0.0..total);
-        lacks.iter().position(|lack| {
-            point -= lack;
+        lacking_slots.iter().position(|lacking| {
+            point -= lacking;
             point < 0.0
         })
     }
 }
 
-fn level(busy_slots: f64, weight: f64, peers: &[SlotLoad]) -> f64 {
+/// Returns the mean number of busy slots per weight of all targets.
+fn mean_per_weight(busy_slots: f64, weight: f64, peers: &[SlotLoad]) -> f64 {
     let busy: f64 = peers.iter().map(|peer| peer.busy_slots).sum();
     let weights: f64 = peers.iter().map(|peer| peer.weight).sum();
     (busy + busy_slots) / (weights + weight).max(f64::MIN_POSITIVE)
--- a/src/decisions/placement.rs
+++ b/src/decisions/placement.rs
@@ -1,7 +1,8 @@
-//! Which target owns an opener: weighted rendezvous hashing over the table.
+//! The owner of an opener, by weighted rendezvous hashing over the table.
 //!
-//! The choice depends on the opener and the table alone, so that two balancers that each see one
-//! datagram of an opener agree without talking; see docs/DESIGN.md, "Owner of an opener".
+//! The owner depends on the opener and the table alone, so that two balancers that each receive one
+//! datagram of an opener choose the same owner without communicating; see docs/DESIGN.md, "Owner of
+//! an opener".
 
 use std::cmp::Reverse;
 use std::net::Ipv4Addr;
@@ -9,95 +10,98 @@
 use crate::config::hash;
 use crate::config::table::{Row, Table};
 
-/// The owner of an opener and the target that takes it when the owner can't.
+/// The owner of an opener and the target that takes it if the owner can't.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Placement<'a> {
     /// The owner.
     pub owner: &'a Row,
-    /// The runner-up, absent where the service has one target.
+    /// The target with the second best score, or `None` if only one row is eligible.
     pub runner_up: Option<&'a Row>,
 }
 
-/// Draws the two best targets for an opener among rows that `eligible` lets pass.
+/// Returns the two targets with the best scores for an opener among the eligible rows.
 ///
-/// Returns `None` where no eligible row has a weight above 0.
+/// Returns `None` if no eligible row has a weight above 0.
 pub fn place_opener(
     table: &Table,
     opener_hash: u64,
     eligible: impl Fn(&Row) -> bool,
 ) -> Option<Placement<'_>> {
-    let mut first: Option<(f64, &Row)> = None;
-    let mut second: Option<(f64, &Row)> = None;
+    let mut owner: Option<(f64, &Row)> = None;
+    let mut runner_up: Option<(f64, &Row)> = None;
     for row in table.rows.iter().filter(|row| row.weight > 0) {
         if !eligible(row) {
             continue;
         }
         let scored = Some((score(opener_hash, row), row));
-        if beats(scored, first) {
-            second = first;
-            first = scored;
-        } else if beats(scored, second) {
-            second = scored;
+        if is_better(scored, owner) {
+            runner_up = owner;
+            owner = scored;
+        } else if is_better(scored, runner_up) {
+            runner_up = scored;
         }
     }
-    first.map(|(_, first)| Placement {
-        owner: first,
-        runner_up: second.map(|(_, row)| row),
+    owner.map(|(_, owner)| Placement {
+        owner,
+        runner_up: runner_up.map(|(_, row)| row),
     })
 }
 
-/// Returns all rows that `eligible` lets pass, best first.
+/// Returns the eligible rows, best score first.
 pub fn rank_targets(table: &Table, opener_hash: u64, eligible: impl Fn(&Row) -> bool) -> Vec<&Row> {
-    ranked_by(table, |row| eligible(row).then(|| score(opener_hash, row)))
+    rank_by(table, |row| eligible(row).then(|| score(opener_hash, row)))
 }
 
-/// Returns all rows that `eligible` lets pass in the order in which they were ranked while each took flows
-/// by its slots, best first.
+/// Returns the eligible rows, best score first, where the score uses a row's slots instead of its
+/// weight.
 ///
-/// Open flows were placed in that order; one that takes no new flow now holds those of then.
+/// Open flows were placed in this order; a target that takes no new flows now still holds the flows
+/// placed on it then.
 pub(crate) fn rank_targets_by_slots(
     table: &Table,
     opener_hash: u64,
     eligible: impl Fn(&Row) -> bool,
 ) -> Vec<&Row> {
-    ranked_by(table, |row| {
+    rank_by(table, |row| {
         eligible(row).then(|| weighted_score(opener_hash, row, row.slots))
     })
 }
 
 /// Returns the rows that have a score, best first.
-fn ranked_by(table: &Table, score: impl Fn(&Row) -> Option<f64>) -> Vec<&Row> {
+fn rank_by(table: &Table, score: impl Fn(&Row) -> Option<f64>) -> Vec<&Row> {
     let rows = table.rows.iter();
     let mut scored: Vec<(f64, &Row)> = rows.filter_map(|row| Some((score(row)?, row))).collect();
     scored.sort_by(|(left, _), (right, _)| right.total_cmp(left));
     scored.into_iter().map(|(_, row)| row).collect()
 }
 
-/// Returns the `count` hosts that come first for an opener where their targets weigh the same and
+/// Returns the `count` hosts with the best scores for an opener.
+///
+/// This is the order of [`rank_targets`] where all targets have the same weight and
 /// [`Row::target_hash`] is the hash of the host.
 pub(crate) fn top_ranked_hosts(
     mut hosts: Vec<Ipv4Addr>,
     opener_hash: u64,
     count: usize,
 ) -> Vec<Ipv4Addr> {
-    let place = |host: &Ipv4Addr| (Reverse(hash::host_rank(opener_hash, *host)), *host);
+    let rank = |host: &Ipv4Addr| (Reverse(hash::host_rank(opener_hash, *host)), *host);
     if count < hosts.len() {
-        hosts.select_nth_unstable_by_key(count, place);
+        hosts.select_nth_unstable_by_key(count, rank);
         hosts.truncate(count);
     }
-    hosts.sort_unstable_by_key(place);
+    hosts.sort_unstable_by_key(rank);
     hosts
 }
 
-fn beats(challenger: Option<(f64, &Row)>, holder: Option<(f64, &Row)>) -> bool {
-    match (challenger, holder) {
-        (Some((score, _)), Some((held, _))) => score > held,
+fn is_better(challenger: Option<(f64, &Row)>, current: Option<(f64, &Row)>) -> bool {
+    match (challenger, current) {
+        (Some((score, _)), Some((best, _))) => score > best,
         (Some(_), None) => true,
         (None, _) => false,
     }
 }
 
-/// Scores a row so that the greatest score wins with a probability proportional to its weight.
+/// Scores a row so that the highest score wins with a probability proportional to its weight.
 fn score(opener_hash: u64, row: &Row) -> f64 {
     weighted_score(opener_hash, row, row.weight)
 }
--- a/src/decisions/reported_waits.rs
+++ b/src/decisions/reported_waits.rs
@@ -1,111 +1,118 @@
-//! For how long a new flow would wait at the agents that a balancer heard of a moment ago.
+//! The waits for new flows that agents recently reported to a balancer.
 
 use std::net::Ipv4Addr;
 
 use crate::decisions::offers::TAKES_NONE_WAIT_MS;
 
-/// The age at which such a word no longer counts, in milliseconds: about the service time of the users' requests,
-/// after which a slot is free that was not, or the other way round.
-const FRESH_MS: u64 = 30;
-/// The weight of the newest word in the level.
-const WEIGHT_OF_NEW: f64 = 0.1;
-/// The time in which the level halves without a word, in milliseconds: a rush may be over, and agents that are not
-/// asked don't say so.
-const LEVEL_HALF_LIFE_MS: f64 = 200.0;
+/// How long a report is valid, in milliseconds: about the service time of the users' requests,
+/// after which busy slots have become free and free ones busy.
+const REPORT_LIFETIME_MS: u64 = 30;
+/// The weight of the newest report in the mean wait.
+const NEWEST_WEIGHT: f64 = 0.1;
+/// The time in which the mean wait halves without a report, in milliseconds: a rush may be over,
+/// and agents that get no offers don't report that it is.
+const MEAN_HALF_LIFE_MS: f64 = 200.0;
 
 #[derive(Debug, Clone, Copy)]
-struct KnownWait {
+struct ReportedWait {
     host: Ipv4Addr,
     wait_ms: u16,
-    heard_ms: u64,
-    /// Whether a flow went there since, which voids a word of room.
-    used: bool,
+    reported_ms: u64,
+    /// Whether a flow was sent to the agent since, which invalidates a report of a free slot.
+    has_sent_flow: bool,
 }
 
-/// The mean of the waits that were told lately.
+/// The moving mean of reported waits, which decays while there are no reports.
 #[derive(Debug, Default, Clone, Copy)]
-struct Level {
+struct MeanWait {
     wait_ms: f64,
-    heard_ms: u64,
+    reported_ms: u64,
 }
 
-/// The newest word of each agent, sorted by host, and the level of those nearby and of the others.
+/// The newest report of each agent, sorted by host, and the mean waits in the balancer's
+/// availability zone and in the other ones.
 #[derive(Debug, Default)]
 pub struct ReportedWaits {
-    waits: Vec<KnownWait>,
-    near: Level,
-    far: Level,
+    waits: Vec<ReportedWait>,
+    same_zone: MeanWait,
+    other_zones: MeanWait,
 }
 
-impl Level {
-    fn heard(&mut self, wait_ms: u16, now_ms: u64) {
+impl MeanWait {
+    fn record(&mut self, wait_ms: u16, now_ms: u64) {
         let before_ms = self.at(now_ms);
-        self.wait_ms = before_ms + (f64::from(wait_ms) - before_ms) * WEIGHT_OF_NEW;
-        self.heard_ms = now_ms;
+        self.wait_ms = before_ms + (f64::from(wait_ms) - before_ms) * NEWEST_WEIGHT;
+        self.reported_ms = now_ms;
     }
 
     fn at(&self, now_ms: u64) -> f64 {
-        let passed_ms = now_ms.saturating_sub(self.heard_ms) as f64;
-        self.wait_ms * (-passed_ms / LEVEL_HALF_LIFE_MS).exp2()
+        let passed_ms = now_ms.saturating_sub(self.reported_ms) as f64;
+        self.wait_ms * (-passed_ms / MEAN_HALF_LIFE_MS).exp2()
     }
 }
 
 impl ReportedWaits {
-    /// Notes what an agent said.
+    /// Records a wait that an agent reported.
     pub fn record(&mut self, host: Ipv4Addr, is_same_zone: bool, wait_ms: u16, now_ms: u64) {
         if wait_ms != TAKES_NONE_WAIT_MS {
-            self.level_mut(is_same_zone).heard(wait_ms, now_ms);
+            self.mean_mut(is_same_zone).record(wait_ms, now_ms);
         }
-        let known = KnownWait {
+        let reported = ReportedWait {
             host,
             wait_ms,
-            heard_ms: now_ms,
-            used: false,
+            reported_ms: now_ms,
+            has_sent_flow: false,
         };
         match self.position(host) {
-            Ok(index) => self.waits[index] = known,
-            Err(index) => self.waits.insert(index, known),
+            Ok(index) => self.waits[index] = reported,
+            Err(index) => self.waits.insert(index, reported),
         }
     }
 
-    /// Notes that a flow went to an agent, which its last word can't show.
+    /// Records a flow sent to an agent, which the agent's last report can't include.
     ///
-    /// Without this a balancer would send all openers of a moment to the one agent that said that it has room.
+    /// Without this a balancer would send all openers of a moment to the one agent that reported a
+    /// free slot.
     pub fn record_sent_flow(&mut self, host: Ipv4Addr) {
         if let Ok(index) = self.position(host) {
-            self.waits[index].used = true;
+            self.waits[index].has_sent_flow = true;
         }
     }
 
-    /// Returns the wait at an agent, in milliseconds, where that is known now.
+    /// Returns the wait at an agent, in milliseconds, if its report is still valid.
     pub fn wait_ms(&self, host: Ipv4Addr, now_ms: u64) -> Option<u16> {
-        let known = self.waits[self.position(host).ok()?];
-        let is_fresh = now_ms < known.heard_ms + FRESH_MS;
-        let had_room = known.wait_ms == 0;
-        (is_fresh && !(had_room && known.used)).then_some(known.wait_ms)
+        let reported = self.waits[self.position(host).ok()?];
+        let is_fresh = now_ms < reported.reported_ms + REPORT_LIFETIME_MS;
+        let had_free_slot = reported.wait_ms == 0;
+        (is_fresh && !(had_free_slot && reported.has_sent_flow)).then_some(reported.wait_ms)
     }
 
-    /// Returns the wait to expect at an agent that said nothing lately, in milliseconds.
+    /// Returns the wait to expect at an agent without a valid report, in milliseconds.
     pub fn mean_wait_ms(&self, is_same_zone: bool, now_ms: u64) -> f64 {
-        let level = if is_same_zone { &self.near } else { &self.far };
-        level.at(now_ms)
+        let mean = if is_same_zone {
+            &self.same_zone
+        } else {
+            &self.other_zones
+        };
+        mean.at(now_ms)
     }
 
-    fn level_mut(&mut self, is_same_zone: bool) -> &mut Level {
+    fn mean_mut(&mut self, is_same_zone: bool) -> &mut MeanWait {
         if is_same_zone {
-            &mut self.near
+            &mut self.same_zone
         } else {
-            &mut self.far
+            &mut self.other_zones
         }
     }
 
-    /// Forgets words that no longer count.
+    /// Removes expired reports.
     pub fn remove_expired(&mut self, now_ms: u64) {
         self.waits
-            .retain(|known| now_ms < known.heard_ms + FRESH_MS);
+            .retain(|reported| now_ms < reported.reported_ms + REPORT_LIFETIME_MS);
     }
 
     fn position(&self, host: Ipv4Addr) -> Result<usize, usize> {
-        self.waits.binary_search_by_key(&host, |known| known.host)
+        self.waits
+            .binary_search_by_key(&host, |reported| reported.host)
     }
 }
--- a/src/decisions/retry_budget.rs
+++ b/src/decisions/retry_budget.rs
@@ -1,28 +1,29 @@
-//! How many retries an agent may add to its load.
+//! The limit on the retries that an agent adds to its load.
 
-/// What each request adds to the budget, in retries.
+/// How much of a retry each request adds to the budget.
 const DEPOSIT: f64 = 0.1;
-/// The most retries that may be saved up.
+/// The most retries that the budget can hold.
 const MAX_BALANCE: f64 = 10.0;
 
-/// A budget of retries that grows with the requests, so that retries never multiply an overload.
+/// A budget of retries that grows with the number of requests, so that retries can't multiply an
+/// overload.
 #[derive(Debug)]
 pub struct RetryBudget {
     balance: f64,
 }
 
 impl RetryBudget {
-    /// Makes a budget with a few retries, for the first failures after a start.
+    /// Creates a budget of one retry, for a first failure right after the start.
     pub fn new() -> Self {
         Self { balance: 1.0 }
     }
 
-    /// Counts a request that was tried for the first time.
+    /// Adds the deposit for a request that is sent for the first time.
     pub fn deposit(&mut self) {
         self.balance = (self.balance + DEPOSIT).min(MAX_BALANCE);
     }
 
-    /// Takes one retry, or says that there is none.
+    /// Takes one retry from the budget; returns whether there was one.
     pub fn try_withdraw(&mut self) -> bool {
         let granted = self.balance >= 1.0;
         if granted {
--- a/src/decisions/service_time.rs
+++ b/src/decisions/service_time.rs
@@ -1,17 +1,18 @@
-//! How long a request occupies a slot, and how long the next one waits for one.
+//! Estimates of the service time of requests and of the wait for a slot.
 
 /// The service time assumed before the first request has ended, in milliseconds.
 pub(crate) const INITIAL_SERVICE_MS: f64 = 20.0;
 /// The weight of the newest request in the mean.
-const WEIGHT_OF_NEW: f64 = 0.1;
+const NEWEST_WEIGHT: f64 = 0.1;
 
-/// How many times the mean service time all slots may be occupied without an answer before what waits is better off
-/// elsewhere: a single slow request is answered past by the other slots.
+/// How many mean service times all slots may be occupied without an answer before the server is
+/// stuck, and waiting requests are better sent elsewhere: while a single request is slow, the other
+/// slots still answer.
 const STUCK_FACTOR: f64 = 4.0;
-/// The least such time, in milliseconds: with one or two slots a few slow requests are no sign of anything.
-const LEAST_STUCK_MS: f64 = 100.0;
+/// The minimum of that time, in milliseconds: with one or two slots a few slow requests are normal.
+const MIN_STUCK_MS: f64 = 100.0;
 
-/// The mean service time of the last requests.
+/// The moving mean of the service time of recent requests.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ServiceTime {
     mean_ms: f64,
@@ -26,9 +27,9 @@
 }
 
 impl ServiceTime {
-    /// Notes for how long a request occupied a slot.
+    /// Records how long a request occupied a slot, in milliseconds.
     pub(crate) fn record(&mut self, took_ms: f64) {
-        self.mean_ms += (took_ms - self.mean_ms) * WEIGHT_OF_NEW;
+        self.mean_ms += (took_ms - self.mean_ms) * NEWEST_WEIGHT;
     }
 
     /// Returns the mean, in milliseconds.
@@ -37,53 +38,56 @@
     }
 }
 
-/// Returns how long it takes until `ahead` requests have left their slots, in milliseconds.
+/// Returns how long it takes until `ahead` requests have freed their slots, in milliseconds.
 pub(crate) fn wait_ms(ahead: u32, service_ms: f64, slots: u32) -> u64 {
     (f64::from(ahead) * service_ms / f64::from(slots.max(1))).ceil() as u64
 }
 
-/// The service time of a backend server that runs requests by itself, seen from beside it.
+/// Estimates the service time of a backend server that schedules its requests itself.
 ///
-/// The time from a request to its answer holds a wait of unknown length in the server's own queue. The time that
-/// all its slots together were occupied, for each answer, does not.
+/// The time from a request to its answer includes a wait of unknown length in the server's own
+/// queue. The time that all its slots together were occupied, divided by the number of answers,
+/// does not.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ServiceTimeEstimator {
     service: ServiceTime,
     occupied: u32,
     slots: u32,
-    /// For how long slots were occupied since the last answer, in milliseconds of one slot.
+    /// The occupied time of all slots together since the last answer, in milliseconds.
     slot_ms: f64,
     at_ms: u64,
 }
 
 impl ServiceTimeEstimator {
-    /// Notes how many requests are there from now on.
+    /// Sets how many requests the server has and how many slots, from now on.
     pub fn set_occupied(&mut self, busy: u32, slots: u32, now_ms: u64) {
         self.advance(now_ms);
         self.occupied = busy.min(slots);
         self.slots = slots;
     }
 
-    /// Notes that a request was answered.
+    /// Records that a request was answered.
     pub fn record_answer(&mut self, now_ms: u64) {
         self.advance(now_ms);
         self.service.record(std::mem::take(&mut self.slot_ms));
     }
 
-    /// Returns the service time to expect, in milliseconds.
+    /// Returns the expected service time, in milliseconds.
     ///
-    /// While no answer comes it grows with the time that all slots were occupied: a server that stands still must not
-    /// look as fast as it was, and what has begun at many slots at once ends later than the mean says.
+    /// Without answers it grows with the occupied time of all slots: a stalled server must not
+    /// appear as fast as before, and requests that start in many slots at once end later than the
+    /// mean.
     pub fn service_ms(&self) -> f64 {
         self.service.mean_ms().max(self.slot_ms)
     }
 
-    /// Tells whether no answer has come for so long that none may come.
+    /// Returns whether all slots have been occupied without an answer for so long that the server
+    /// seems to be stuck.
     pub fn is_stuck(&self) -> bool {
-        self.silent_ms() > LEAST_STUCK_MS.max(STUCK_FACTOR * self.service.mean_ms())
+        self.silent_ms() > MIN_STUCK_MS.max(STUCK_FACTOR * self.service.mean_ms())
     }
 
-    /// Returns for how long all slots were occupied without an answer, in milliseconds.
+    /// Returns how long all slots have been occupied without an answer, in milliseconds.
     fn silent_ms(&self) -> f64 {
         self.slot_ms / f64::from(self.slots.max(1))
     }
--- a/src/decisions/slot_queue.rs
+++ b/src/decisions/slot_queue.rs
@@ -1,4 +1,4 @@
-//! Waits for slots: the tasks of requests around the decisions of [`crate::Slots`].
+//! Connects the tasks of requests that wait for a slot to the decisions of [`crate::Slots`].
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -9,29 +9,30 @@
 use crate::decisions::slots::{ArrivalOutcome, Refusal, RequestId, Slots};
 use crate::process::clock::Clock;
 
-type Grant = Result<SlotGuard, Refusal>;
+type SlotResult = Result<SlotGuard, Refusal>;
 
-/// The slots of a target with the requests that wait for them.
+/// The slots of a target and the tasks that wait for them.
 pub(crate) struct SlotQueue {
     slots: RefCell<Slots>,
-    waiting: RefCell<Vec<(RequestId, oneshot::Sender<Grant>)>>,
+    waiting: RefCell<Vec<(RequestId, oneshot::Sender<SlotResult>)>>,
     next_id: Cell<u64>,
     busy_ms: Cell<u64>,
     clock: Clock,
 }
 
-/// A slot in use; it is freed when this is dropped.
+/// A slot in use, which is freed on drop.
 pub(crate) struct SlotGuard {
     queue: Rc<SlotQueue>,
     started_ms: u64,
-    ran: bool,
+    has_run: bool,
 }
 
 impl SlotGuard {
-    /// Notes that the request was handed to the backend server, so that its time counts.
+    /// Records that the request was sent to the backend server, from which its service time is
+    /// measured.
     pub(crate) fn set_running(&mut self) {
         self.started_ms = self.queue.clock.now_ms();
-        self.ran = true;
+        self.has_run = true;
     }
 }
 
@@ -39,7 +40,7 @@
     fn drop(&mut self) {
         let now_ms = self.queue.clock.now_ms();
         let mut slots = self.queue.slots.borrow_mut();
-        if self.ran {
+        if self.has_run {
             let took_ms = now_ms.saturating_sub(self.started_ms);
             self.queue.busy_ms.set(self.queue.busy_ms.get() + took_ms);
             slots.finish(took_ms);
@@ -47,17 +48,17 @@
             slots.release();
         }
         drop(slots);
-        self.queue.grant_free();
+        self.queue.grant_free_slots();
     }
 }
 
-/// Takes a request out of the queue when its task ends before it had a slot.
-struct Waiter {
+/// Removes a request from the queue on drop, as when its task ends before it gets a slot.
+struct QueuedRequest {
     queue: Rc<SlotQueue>,
     id: RequestId,
 }
 
-impl Drop for Waiter {
+impl Drop for QueuedRequest {
     fn drop(&mut self) {
         self.queue.slots.borrow_mut().cancel(self.id);
         self.queue
@@ -80,14 +81,15 @@
 
     pub(crate) fn set_limit(self: &Rc<Self>, slots: u32) {
         self.slots.borrow_mut().set_limit(slots);
-        self.grant_free();
+        self.grant_free_slots();
     }
 
     pub(crate) fn busy(&self) -> u32 {
         self.slots.borrow().busy()
     }
 
-    /// Returns the time that ended requests have held slots since the last call, in milliseconds.
+    /// Returns the total service time of the requests that ended since the last call, in
+    /// milliseconds.
     pub(crate) fn take_busy_ms(&self) -> u64 {
         self.busy_ms.take()
     }
@@ -117,8 +119,8 @@
         (arrival == ArrivalOutcome::Run).then(|| self.guard())
     }
 
-    /// Waits for a slot; a request that can't have one in time is refused at once.
-    pub(crate) async fn acquire(self: &Rc<Self>, deadline_ms: u64) -> Grant {
+    /// Waits for a slot; a request that can't meet its deadline is refused at once.
+    pub(crate) async fn acquire(self: &Rc<Self>, deadline_ms: u64) -> SlotResult {
         let id = self.new_id();
         match self.arrive(id, deadline_ms) {
             ArrivalOutcome::Run => Ok(self.guard()),
@@ -126,20 +128,22 @@
             ArrivalOutcome::Queued => {
                 let (sender, receiver) = oneshot::channel();
                 self.waiting.borrow_mut().push((id, sender));
-                let _waiter = Waiter {
+                let _queued = QueuedRequest {
                     queue: self.clone(),
                     id,
                 };
-                receiver.await.unwrap_or_else(|_| Err(self.late()))
+                receiver
+                    .await
+                    .unwrap_or_else(|_| Err(self.deadline_refusal()))
             }
         }
     }
 
-    /// Answers waiting requests whose deadline has passed.
+    /// Refuses waiting requests whose deadline has passed.
     pub(crate) fn refuse_expired(&self) {
         let expired = self.slots.borrow_mut().remove_expired(self.clock.now_ms());
         for id in expired {
-            self.refuse_late(id);
+            self.refuse_at_deadline(id);
         }
     }
 
@@ -157,42 +161,42 @@
         SlotGuard {
             queue: self.clone(),
             started_ms: self.clock.now_ms(),
-            ran: false,
+            has_run: false,
         }
     }
 
-    fn late(&self) -> Refusal {
+    fn deadline_refusal(&self) -> Refusal {
         Refusal {
             code: Code::Deadline,
             retry_after_ms: self.retry_after_ms(),
         }
     }
 
-    fn refuse_late(&self, id: RequestId) {
+    fn refuse_at_deadline(&self, id: RequestId) {
         if let Some(sender) = self.take_waiting(id) {
-            // A request whose task has ended needs no answer.
-            let _ = sender.send(Err(self.late()));
+            // Sending fails if the task of the request has ended; it needs no answer then.
+            let _ = sender.send(Err(self.deadline_refusal()));
         }
     }
 
-    fn take_waiting(&self, id: RequestId) -> Option<oneshot::Sender<Grant>> {
+    fn take_waiting(&self, id: RequestId) -> Option<oneshot::Sender<SlotResult>> {
         let mut waiting = self.waiting.borrow_mut();
-        let index = waiting.iter().position(|(known, _)| *known == id)?;
+        let index = waiting.iter().position(|(queued, _)| *queued == id)?;
         Some(waiting.remove(index).1)
     }
 
-    fn grant_free(self: &Rc<Self>) {
+    fn grant_free_slots(self: &Rc<Self>) {
         loop {
-            let next = self.slots.borrow_mut().dequeue(self.clock.now_ms());
-            for id in next.expired {
-                self.refuse_late(id);
+            let dequeued = self.slots.borrow_mut().dequeue(self.clock.now_ms());
+            for id in dequeued.expired {
+                self.refuse_at_deadline(id);
             }
-            let Some(id) = next.run else {
+            let Some(id) = dequeued.run else {
                 return;
             };
             let guard = self.guard();
             match self.take_waiting(id) {
-                // A receiver that is gone drops the guard, which frees the slot again.
+                // If the receiver is gone, the guard is dropped, which frees the slot again.
                 Some(sender) => drop(sender.send(Ok(guard))),
                 None => drop(guard),
             }
--- a/src/decisions/slots.rs
+++ b/src/decisions/slots.rs
@@ -1,50 +1,50 @@
-//! The slots of one target and the bounded queue before them.
+//! The slots of one target and the bounded queue of requests that wait for one.
 
 use crate::code::Code;
 use crate::decisions::service_time::{self, ServiceTime};
 use crate::decisions::wait_queue::{QueueParams, QueuedItem, WaitQueue};
 
-/// How many requests may wait for each slot.
+/// The maximum number of waiting requests per slot.
 pub(crate) const QUEUE_PER_SLOT: u32 = 2;
-/// The shortest time after which a refused caller is told to come back, in milliseconds.
+/// The shortest retry time that a refused caller is given, in milliseconds.
 pub(crate) const MIN_RETRY_AFTER_MS: u32 = 50;
-/// The longest such time, in milliseconds.
+/// The longest retry time that a refused caller is given, in milliseconds.
 pub(crate) const MAX_RETRY_AFTER_MS: u32 = 30_000;
 
-/// Identifies a request in its agent.
+/// The id of a request within its agent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestId(pub u64);
 
-/// What happens to a request that arrives.
+/// The outcome for a request on arrival.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ArrivalOutcome {
-    /// It has a slot.
+    /// It has a slot and runs.
     Run,
-    /// It waits.
+    /// It waits for a slot.
     Queued,
-    /// It gets its final answer at once.
+    /// It is refused; this is its final answer.
     Refused(Refusal),
 }
 
-/// Why a request does not run, and when to come back.
+/// Why a request was not run, and when to retry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
     /// The reason.
     pub code: Code,
-    /// After how long a new try makes sense, in milliseconds.
+    /// The time after which the caller should retry, in milliseconds.
     pub retry_after_ms: u32,
 }
 
-/// What becomes of waiting requests when a slot is free.
+/// The waiting requests that leave the queue when a slot is free.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Dequeued {
     /// The request that runs now.
     pub run: Option<RequestId>,
-    /// Requests whose deadline can no longer be met; each is refused with [`Code::Deadline`].
+    /// Requests whose deadline has passed; each is refused with [`Code::Deadline`].
     pub expired: Vec<RequestId>,
 }
 
-/// Slots, running requests and waiting requests of one target.
+/// The slots, running requests and waiting requests of one target.
 #[derive(Debug)]
 pub struct Slots {
     slots: u32,
@@ -54,7 +54,7 @@
 }
 
 impl Slots {
-    /// Makes free slots.
+    /// Creates a target's slots, all of them free.
     pub fn new(slots: u32) -> Self {
         Self {
             slots,
@@ -64,22 +64,22 @@
         }
     }
 
-    /// Changes the limit; requests above a lower one end undisturbed.
+    /// Sets the number of slots; running requests above a lower number are not interrupted.
     pub fn set_limit(&mut self, slots: u32) {
         self.slots = slots;
     }
 
-    /// Returns how many requests run.
+    /// Returns the number of running requests.
     pub fn busy(&self) -> u32 {
         self.busy
     }
 
-    /// Returns how many requests wait.
+    /// Returns the number of waiting requests.
     pub fn queued(&self) -> usize {
         self.queue.len()
     }
 
-    /// Tells whether a request could run at once.
+    /// Returns whether a request could run at once.
     pub fn has_free(&self) -> bool {
         self.busy < self.slots && self.queue.is_empty()
     }
@@ -89,7 +89,7 @@
         self.service.mean_ms()
     }
 
-    /// Returns for how long a request that arrives now would wait, in milliseconds.
+    /// Returns the expected wait of a request that arrives now, in milliseconds.
     pub fn wait_ms(&self) -> u64 {
         if self.has_free() {
             return 0;
@@ -97,7 +97,7 @@
         service_time::wait_ms(self.queue.len() as u32 + 1, self.service_ms(), self.slots)
     }
 
-    /// Takes a request that must have ended by `deadline_ms`.
+    /// Runs, queues or refuses a request that has to end by `deadline_ms`.
     pub fn arrive(&mut self, id: RequestId, deadline_ms: u64, now_ms: u64) -> ArrivalOutcome {
         if deadline_ms <= now_ms {
             return self.refuse(Code::Deadline);
@@ -119,7 +119,7 @@
             priority: 0,
             since_ms: now_ms,
             objective_ms: u32::MAX,
-            // None is late before its deadline, so that they are served by arrival.
+            // No request is overdue before its deadline, so that the order is that of arrival.
             due_ms: u64::MAX,
             deadline_ms,
         };
@@ -129,24 +129,24 @@
         ArrivalOutcome::Queued
     }
 
-    /// Frees a slot after a service time of `took_ms`.
+    /// Frees a slot and records the service time of its request.
     pub fn finish(&mut self, took_ms: u64) {
         self.service.record(took_ms as f64);
         self.release();
     }
 
-    /// Frees a slot whose request never ran, so that it says nothing about the service time.
+    /// Frees a slot whose request never ran, without recording a service time.
     pub fn release(&mut self) {
         self.busy = self.busy.saturating_sub(1);
     }
 
-    /// Gives a free slot to the waiting request that goes first of those that can still meet their deadlines.
+    /// Gives a free slot to the first waiting request whose deadline has not passed.
     pub fn dequeue(&mut self, now_ms: u64) -> Dequeued {
-        let mut next = Dequeued::default();
+        let mut dequeued = Dequeued::default();
         if self.busy >= self.slots {
-            return next;
+            return dequeued;
         }
-        next.expired = self.remove_expired(now_ms);
+        dequeued.expired = self.remove_expired(now_ms);
         let params = QueueParams {
             service_ms: self.service_ms(),
             slots: self.slots,
@@ -154,23 +154,24 @@
         };
         if let Some(waiting) = self.queue.pop_if(&params, now_ms, |_| true) {
             self.busy += 1;
-            next.run = Some(waiting.item);
+            dequeued.run = Some(waiting.item);
         }
-        next
+        dequeued
     }
 
-    /// Removes waiting requests whose deadline has passed, so that they are answered at once.
+    /// Removes and returns waiting requests whose deadline has passed, so that they are refused at
+    /// once.
     pub fn remove_expired(&mut self, now_ms: u64) -> Vec<RequestId> {
         let expired = self.queue.take_if(|waiting| waiting.deadline_ms <= now_ms);
         expired.into_iter().map(|waiting| waiting.item).collect()
     }
 
-    /// Removes a waiting request that its caller has cancelled, and says whether it waited.
+    /// Removes a waiting request that its caller cancelled; returns whether it was waiting.
     pub fn cancel(&mut self, id: RequestId) -> bool {
         !self.queue.take_if(|waiting| waiting.item == id).is_empty()
     }
 
-    /// Returns after how long a refused caller should come back, in milliseconds.
+    /// Returns the time after which a refused caller should retry, in milliseconds.
     pub fn retry_after_ms(&self) -> u32 {
         let backlog = self.queue.len() as f64 + f64::from(self.busy);
         let clear_ms = backlog * self.service_ms() / f64::from(self.slots.max(1));
--- a/src/decisions/stall.rs
+++ b/src/decisions/stall.rs
@@ -1,139 +1,148 @@
-//! Whether a backend server stands still: it takes requests and serves none, while its process listens.
+//! Detection of stalled backend servers: they accept requests and answer none, while their process
+//! still listens.
 //!
-//! The load that this answers is one of many flows with a request now and then. Each of them costs its caller a
-//! whole timeout once the backend server hangs, one after the other. A wrong verdict ends flows of a backend server
-//! that works, so that each doubt speaks against a stall.
+//! Load pattern: many flows with an occasional request each. Once the backend server hangs, each of
+//! these requests in turn costs its caller a whole timeout. A false detection ends flows of a
+//! working backend server, so that in any doubt the server is not regarded as stalled.
 //!
-//! A refusal for want of room or of time shows that the process lives, not that it works: what hangs fills its
-//! queue, and what comes then is refused at once. See docs/design/stalled-servers.md.
+//! A refusal because a queue is full or a deadline has passed shows that the process runs, not that
+//! it works: the queue of a hung server fills, and further requests are refused at once. See
+//! docs/design/stalled-servers.md.
 
-/// The shortest silence that counts as a stall, in milliseconds: callers who have time for one attempt wait for
-/// less than two seconds, and a process that is merely held up for some hundred answers again by then.
+/// The shortest silence that is a stall, in milliseconds: callers with time for a single attempt
+/// wait for less than two seconds, and a process that is merely delayed for a few hundred
+/// milliseconds answers again by then.
 pub const MIN_STALL_SILENCE_MS: u64 = 1_000;
-/// How many times the longest recent answer the silence must last: a queue that has just filled makes answers
-/// take two or three times as long.
+/// How many times the slowest recent answer the silence must last: answers take two or three times
+/// as long when a queue has just filled.
 const SILENCE_FACTOR: f64 = 4.0;
-/// The time in which the longest answer loses half of its weight, in milliseconds: long against the pauses
-/// between two slow answers.
-const HALF_LIFE_MS: f64 = 60_000.0;
-/// How many answers must have been seen before their times say what is usual.
+/// The half-life of the slowest answer, in milliseconds: much longer than the time between two slow
+/// answers.
+const SLOWEST_HALF_LIFE_MS: f64 = 60_000.0;
+/// The minimum number of answers before their times show what is usual.
 const MIN_ANSWERS: u32 = 20;
-/// The fewest requests, each of a flow of its own, that must wait: two may be slow by chance.
+/// The minimum number of waiting requests, each of a different flow: two may be slow by chance.
 const MIN_WAITING: usize = 3;
-/// The part of the silence for which each of these must have waited.
-const LONG_PART: f64 = 0.75;
-/// The part of the silence after which a further request must have come in: with none, whoever hands them over
-/// may be cut off as well as the backend server.
-const NEWS_PART: f64 = 0.5;
-/// The longest time between two looks at the clock, in milliseconds: a few periods of [`STALL_CHECK_INTERVAL_MS`]. After a longer
-/// one the agent itself was paused, and answers may wait to be read.
+/// The fraction of the silence for which each of these requests must have waited.
+const MIN_WAIT_FRACTION: f64 = 0.75;
+/// The fraction of the silence after which a further request must have arrived: without one, the
+/// sender of the requests may be cut off, and not only the backend server.
+const ARRIVAL_FRACTION: f64 = 0.5;
+/// The longest time between two calls, in milliseconds, as a few periods of
+/// [`STALL_CHECK_INTERVAL_MS`]. After a longer gap the agent itself was paused, and unread answers
+/// may be queued.
 const MAX_GAP_MS: u64 = 3 * STALL_CHECK_INTERVAL_MS;
-/// How often an agent has to look, in milliseconds: well under the shortest silence.
+/// The interval of calls to [`StallDetector::check`], in milliseconds: well below the shortest
+/// silence.
 pub const STALL_CHECK_INTERVAL_MS: u64 = 100;
-/// How long a request without an answer is remembered, in milliseconds: as long as any caller waits.
-const FORGET_MS: u64 = 60_000;
-/// How long a request that waits at a backend server which stands still takes the place of a probe, in
-/// milliseconds: one that works answers within the least silence.
+/// How long a request without an answer is remembered, in milliseconds: as long as any caller
+/// waits.
+const REQUEST_RETENTION_MS: u64 = 60_000;
+/// How long a request that waits at a stalled backend server serves as a probe, in milliseconds: a
+/// working server answers within the shortest silence.
 pub const STALL_PROBE_TIMEOUT_MS: u64 = MIN_STALL_SILENCE_MS;
-/// How long a backend server that answers again is filled up slowly, in milliseconds: it has to work off first
-/// what it took while it stood still.
+/// The time over which the limit of a recovered backend server is ramped up, in milliseconds: it
+/// first has to work off the requests that it accepted during the stall.
 pub const RECOVERY_RAMP_MS: u64 = 1_000;
 
 /// A request that the backend server has not begun to answer.
 #[derive(Debug)]
-struct Waiting<K> {
+struct PendingRequest<K> {
     flow: K,
     since_ms: u64,
-    /// Whether all of it was handed over, as far as that can be told.
+    /// Whether the whole request was sent, as far as its packets show.
     is_whole: bool,
 }
 
-/// What shows a stall, for log lines.
+/// The evidence of a stall, for log lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Stall {
-    /// For how long nothing was served, in milliseconds.
+    /// How long nothing was answered, in milliseconds.
     pub silent_ms: u64,
-    /// How many requests have waited for nearly as long.
+    /// How many requests have waited for most of that time.
     pub waiting: usize,
 }
 
-/// The requests at one backend server and the times of its answers, by flows that are named by `K`.
+/// The pending requests at one backend server and the times of its answers; `K` identifies a flow.
 #[derive(Debug)]
 pub struct StallDetector<K> {
-    /// Sorted by flow; each has one.
-    waiting: Vec<Waiting<K>>,
+    /// At most one request per flow, sorted by flow.
+    pending: Vec<PendingRequest<K>>,
     slowest_ms: f64,
     slowest_at_ms: u64,
     answers: u32,
-    /// When the backend server last served something, or the measurement began anew.
+    /// The time of the last answer, or when the measurement was restarted.
     measured_from_ms: u64,
-    looked_ms: u64,
-    newest_ms: u64,
+    last_call_ms: u64,
+    last_arrival_ms: u64,
     stalled_since_ms: Option<u64>,
     recovered_ms: Option<u64>,
 }
 
 impl<K: Copy + Ord> StallDetector<K> {
-    /// Makes a watch of a backend server of which nothing is known.
+    /// Creates a detector for a backend server of which nothing is known.
     pub fn new() -> Self {
         Self {
-            waiting: Vec::new(),
+            pending: Vec::new(),
             slowest_ms: 0.0,
             slowest_at_ms: 0,
             answers: 0,
             measured_from_ms: 0,
-            looked_ms: 0,
-            newest_ms: 0,
+            last_call_ms: 0,
+            last_arrival_ms: 0,
             stalled_since_ms: None,
             recovered_ms: None,
         }
     }
 
-    /// Notes data of a request that was handed over; `is_whole` where it may be all of it.
+    /// Records data of a request that was sent to the backend server; `is_whole` if that may be the
+    /// whole request.
     ///
-    /// A request of several packets may still be under way, so that it shows nothing; its answer does.
+    /// A request of several packets may still be incomplete, so that its wait is not evidence of a
+    /// stall; its answer ends one.
     pub fn record_request(&mut self, flow: K, is_whole: bool, now_ms: u64) {
-        self.look_at_clock(now_ms);
-        self.newest_ms = now_ms;
+        self.restart_after_gap(now_ms);
+        self.last_arrival_ms = now_ms;
         match self.position(flow) {
             Ok(index) => {
-                self.waiting[index].since_ms = now_ms;
-                self.waiting[index].is_whole = false;
+                self.pending[index].since_ms = now_ms;
+                self.pending[index].is_whole = false;
             }
             Err(index) => {
-                let waiting = Waiting {
+                let request = PendingRequest {
                     flow,
                     since_ms: now_ms,
                     is_whole,
                 };
-                self.waiting.insert(index, waiting);
+                self.pending.insert(index, request);
             }
         }
     }
 
-    /// Notes that a request came in which waits for room before it is handed over.
+    /// Records the arrival of a request that is queued before it is sent to the backend server.
     ///
-    /// It shows that whoever hands requests over is not cut off, and nothing of the backend server.
+    /// It shows that the sender of the requests is not cut off, and nothing about the backend
+    /// server.
     pub fn record_arrival(&mut self, now_ms: u64) {
-        self.look_at_clock(now_ms);
-        self.newest_ms = now_ms;
+        self.restart_after_gap(now_ms);
+        self.last_arrival_ms = now_ms;
     }
 
-    /// Notes that a request no longer waits: it was refused or failed, or its caller gave it up.
+    /// Removes a request that was refused, has failed or was given up by its caller.
     pub fn remove_request(&mut self, flow: K) {
         if let Ok(index) = self.position(flow) {
-            self.waiting.remove(index);
+            self.pending.remove(index);
         }
     }
 
-    /// Notes an answer on a flow, or a part of one, which the backend server had to work for.
+    /// Records an answer on a flow, or a part of one, that the backend server had to work for.
     ///
-    /// Returns for how long it had stood still, in milliseconds, if it did.
+    /// Returns the duration of the stall that this answer ends, in milliseconds, if there was one.
     pub fn record_answer(&mut self, flow: K, now_ms: u64) -> Option<u64> {
-        self.look_at_clock(now_ms);
+        self.restart_after_gap(now_ms);
         if let Ok(index) = self.position(flow) {
-            let request = self.waiting.remove(index);
-            self.learn(request.since_ms, now_ms);
+            let request = self.pending.remove(index);
+            self.record_answer_time(request.since_ms, now_ms);
         }
         self.measured_from_ms = now_ms;
         let since_ms = self.stalled_since_ms.take()?;
@@ -141,39 +150,45 @@
         Some(now_ms.saturating_sub(since_ms))
     }
 
-    /// Forgets everything: another process answers from now on.
+    /// Resets the detector, as when another process takes over the backend server's address.
     pub fn reset(&mut self) {
         *self = Self {
-            looked_ms: self.looked_ms,
-            measured_from_ms: self.looked_ms,
+            last_call_ms: self.last_call_ms,
+            measured_from_ms: self.last_call_ms,
             ..Self::new()
         };
     }
 
-    /// Looks whether the backend server stands still, and says so once; to be called each [`STALL_CHECK_INTERVAL_MS`].
+    /// Checks for a stall and returns it once, when it is detected.
+    ///
+    /// Has to be called every [`STALL_CHECK_INTERVAL_MS`].
     pub fn check(&mut self, slots: u32, now_ms: u64) -> Option<Stall> {
-        self.look_at_clock(now_ms);
-        self.waiting
-            .retain(|request| now_ms < request.since_ms + FORGET_MS);
+        self.restart_after_gap(now_ms);
+        self.pending
+            .retain(|request| now_ms < request.since_ms + REQUEST_RETENTION_MS);
         if self.stalled_since_ms.is_some() || self.answers < MIN_ANSWERS {
             return None;
         }
-        let silence_ms = self.silence_ms(now_ms);
-        let part_ms = |part: f64| (part * silence_ms as f64) as u64;
-        // What waited before the last answer was passed over by it, and may be lost or slow by itself.
+        let silence_ms = self.stall_silence_ms(now_ms);
+        let fraction_ms = |fraction: f64| (fraction * silence_ms as f64) as u64;
+        // Requests from before the last answer were overtaken by it, and may be lost or slow
+        // themselves.
         let unanswered = self
-            .waiting
+            .pending
             .iter()
             .filter(|request| request.is_whole && request.since_ms > self.measured_from_ms);
         let since_ms = unanswered.clone().map(|request| request.since_ms).min()?;
-        let is_long = |request: &&Waiting<K>| now_ms >= request.since_ms + part_ms(LONG_PART);
+        let has_waited = |request: &&PendingRequest<K>| {
+            now_ms >= request.since_ms + fraction_ms(MIN_WAIT_FRACTION)
+        };
         let stall = Stall {
             silent_ms: now_ms.saturating_sub(since_ms),
-            waiting: unanswered.filter(is_long).count(),
+            waiting: unanswered.filter(has_waited).count(),
         };
-        let has_news = self.newest_ms >= since_ms + part_ms(NEWS_PART);
-        let needed = MIN_WAITING.max(slots as usize);
-        let is_stalled = stall.silent_ms >= silence_ms && stall.waiting >= needed && has_news;
+        let has_arrivals = self.last_arrival_ms >= since_ms + fraction_ms(ARRIVAL_FRACTION);
+        let min_waiting = MIN_WAITING.max(slots as usize);
+        let is_stalled =
+            stall.silent_ms >= silence_ms && stall.waiting >= min_waiting && has_arrivals;
         if !is_stalled {
             return None;
         }
@@ -181,25 +196,27 @@
         Some(stall)
     }
 
-    /// Tells whether the backend server stood still at the last look and has served nothing since.
+    /// Returns whether the backend server was stalled at the last check and has answered nothing
+    /// since.
     ///
-    /// A look that is overdue says nothing: whoever should look may have been paused.
+    /// After an overdue check the result is `false`, since the agent itself may have been paused.
     pub fn is_stalled(&self, now_ms: u64) -> bool {
-        self.stalled_since_ms.is_some() && now_ms <= self.looked_ms + MAX_GAP_MS
+        self.stalled_since_ms.is_some() && now_ms <= self.last_call_ms + MAX_GAP_MS
     }
 
-    /// Tells whether a backend server that stands still may be tried with a request.
+    /// Returns whether a request may be sent to a stalled backend server as a probe.
     ///
-    /// Its answer shows that it works again, and so does that of any other one that waits there: each costs its
-    /// caller a timeout, and one at a time shows as much as many.
+    /// Any answer shows that the server works again, also that of a request that waits there
+    /// already. Each probe costs its caller a timeout, and one at a time shows as much as many.
     pub fn may_probe(&self, now_ms: u64) -> bool {
-        let waits = |request: &Waiting<K>| now_ms < request.since_ms + STALL_PROBE_TIMEOUT_MS;
-        !self.waiting.iter().any(waits)
+        let is_probe =
+            |request: &PendingRequest<K>| now_ms < request.since_ms + STALL_PROBE_TIMEOUT_MS;
+        !self.pending.iter().any(is_probe)
     }
 
-    /// Returns how many requests a backend server may have that has just come back, of those that it could have.
+    /// Returns how many of `limit` requests the backend server may have after a recovery.
     ///
-    /// Its room grows evenly, so that a second stall costs few callers.
+    /// The result grows evenly up to `limit`, so that a second stall affects few callers.
     pub fn ramped_limit(&self, limit: f64, now_ms: u64) -> f64 {
         let Some(recovered_ms) = self.recovered_ms else {
             return limit;
@@ -209,40 +226,41 @@
     }
 
     fn position(&self, flow: K) -> Result<usize, usize> {
-        self.waiting
+        self.pending
             .binary_search_by_key(&flow, |request| request.flow)
     }
 
-    /// Begins the measurement anew if the clock jumped since the last look.
-    fn look_at_clock(&mut self, now_ms: u64) {
-        if now_ms > self.looked_ms + MAX_GAP_MS {
+    /// Restarts the measurement if the last call was too long ago.
+    fn restart_after_gap(&mut self, now_ms: u64) {
+        if now_ms > self.last_call_ms + MAX_GAP_MS {
             self.measured_from_ms = now_ms;
             self.stalled_since_ms = None;
         }
-        self.looked_ms = self.looked_ms.max(now_ms);
+        self.last_call_ms = self.last_call_ms.max(now_ms);
     }
 
-    /// Notes how long an answer took, unless the backend server stood still meanwhile, which is not usual.
-    fn learn(&mut self, since_ms: u64, now_ms: u64) {
+    /// Records how long an answer took, unless the backend server was stalled meanwhile: that time
+    /// is not its usual one.
+    fn record_answer_time(&mut self, since_ms: u64, now_ms: u64) {
         let outlived_stall = self.recovered_ms.is_some_and(|end_ms| since_ms < end_ms);
         if self.stalled_since_ms.is_some() || outlived_stall {
             return;
         }
         let took_ms = now_ms.saturating_sub(since_ms) as f64;
-        self.slowest_ms = self.decayed_ms(now_ms).max(took_ms);
+        self.slowest_ms = self.decayed_slowest_ms(now_ms).max(took_ms);
         self.slowest_at_ms = now_ms;
         self.answers = self.answers.saturating_add(1);
     }
 
-    fn decayed_ms(&self, now_ms: u64) -> f64 {
+    fn decayed_slowest_ms(&self, now_ms: u64) -> f64 {
         let passed_ms = now_ms.saturating_sub(self.slowest_at_ms) as f64;
-        self.slowest_ms * (-passed_ms / HALF_LIFE_MS).exp2()
+        self.slowest_ms * (-passed_ms / SLOWEST_HALF_LIFE_MS).exp2()
     }
 
-    /// Returns the silence that counts as a stall.
-    fn silence_ms(&self, now_ms: u64) -> u64 {
-        let learnt_ms = (SILENCE_FACTOR * self.decayed_ms(now_ms)) as u64;
-        learnt_ms.max(MIN_STALL_SILENCE_MS)
+    /// Returns the silence from which the backend server is stalled, in milliseconds.
+    fn stall_silence_ms(&self, now_ms: u64) -> u64 {
+        let expected_ms = (SILENCE_FACTOR * self.decayed_slowest_ms(now_ms)) as u64;
+        expected_ms.max(MIN_STALL_SILENCE_MS)
     }
 }
 
--- a/src/decisions/suspicion.rs
+++ b/src/decisions/suspicion.rs
@@ -1,34 +1,38 @@
-//! Which hosts this process believes to be dead: local, short-lived, and forgotten on an answer.
+//! Failure detection by timeouts: the hosts that this process suspects to have failed.
+//!
+//! A suspicion expires soon and ends with the first answer.
 
 use std::net::Ipv4Addr;
 
-/// For how long a host stays suspected without a new reason, in milliseconds.
+/// How long a host is suspected unless it gives a new reason, in milliseconds.
 pub const SUSPICION_MS: u64 = 2_000;
-/// How long sent packets may stay unanswered before their receiver is suspected, in milliseconds.
+/// How long sent packets may go unanswered before their receiver is suspected, in milliseconds.
 pub const ANSWER_TIMEOUT_MS: u64 = 400;
 
 #[derive(Debug, Clone, Copy)]
-struct Record {
+struct HostRecord {
     host: Ipv4Addr,
     unanswered_since_ms: Option<u64>,
     suspected_until_ms: u64,
 }
 
-/// Suspicions of one process about others; it never travels, so that a wrong one stays small.
+/// The hosts that one process suspects.
+///
+/// Suspicions are not shared with other processes, so that a wrong one has little effect.
 #[derive(Debug, Default)]
 pub struct Suspicion {
-    records: Vec<Record>,
+    records: Vec<HostRecord>,
 }
 
 impl Suspicion {
-    fn record(&mut self, host: Ipv4Addr) -> &mut Record {
+    fn record(&mut self, host: Ipv4Addr) -> &mut HostRecord {
         let found = self
             .records
             .binary_search_by_key(&host, |record| record.host);
         let index = found.unwrap_or_else(|index| {
             self.records.insert(
                 index,
-                Record {
+                HostRecord {
                     host,
                     unanswered_since_ms: None,
                     suspected_until_ms: 0,
@@ -39,7 +43,7 @@
         &mut self.records[index]
     }
 
-    /// Notes that something was sent to which the host should answer.
+    /// Records that a packet was sent that the host should answer.
     pub fn record_sent(&mut self, host: Ipv4Addr, now_ms: u64) {
         let record = self.record(host);
         let since_ms = *record.unanswered_since_ms.get_or_insert(now_ms);
@@ -49,7 +53,7 @@
         }
     }
 
-    /// Notes that the host answered.
+    /// Records an answer of the host, which ends its suspicion.
     pub fn record_answer(&mut self, host: Ipv4Addr) {
         let found = self
             .records
@@ -65,7 +69,7 @@
         self.record(host).suspected_until_ms = now_ms + SUSPICION_MS;
     }
 
-    /// Tells whether the host is suspected now.
+    /// Returns whether the host is suspected now.
     pub fn is_suspected(&self, host: Ipv4Addr, now_ms: u64) -> bool {
         let found = self
             .records
@@ -73,27 +77,27 @@
         found.is_ok_and(|index| self.records[index].suspected_until_ms > now_ms)
     }
 
-    /// Forgets everything, as after a pause in which no answer could be read.
+    /// Removes all suspicions, as after a pause of the process, in which it could read no answers.
     pub fn clear(&mut self) {
         self.records.clear();
     }
 
-    /// Forgets hosts about which nothing is suspected or awaited, so that memory stays bounded.
+    /// Removes hosts that are neither suspected nor due to answer, so that memory stays bounded.
     pub fn prune(&mut self, now_ms: u64) {
-        let awaited = |record: &Record| {
+        let is_awaited = |record: &HostRecord| {
             let since_ms = record.unanswered_since_ms;
             since_ms.is_some_and(|since_ms| now_ms.saturating_sub(since_ms) < SUSPICION_MS)
         };
         self.records
-            .retain(|record| record.suspected_until_ms > now_ms || awaited(record));
+            .retain(|record| record.suspected_until_ms > now_ms || is_awaited(record));
     }
 
-    /// Returns the hosts suspected now.
+    /// Returns the hosts that are suspected now.
     pub fn suspected_hosts(&self, now_ms: u64) -> Vec<Ipv4Addr> {
-        let now = self
+        let suspected = self
             .records
             .iter()
             .filter(|record| record.suspected_until_ms > now_ms);
-        now.map(|record| record.host).collect()
+        suspected.map(|record| record.host).collect()
     }
 }
--- a/src/decisions/wait_queue.rs
+++ b/src/decisions/wait_queue.rs
@@ -1,62 +1,66 @@
-//! The bounded queue of what waits for a slot, and who goes first.
+//! The bounded queue of items that wait for a slot, and the order in which they are served.
 //!
-//! Load pattern: for some seconds more is asked for than can be served, by callers of different urgency, some of
-//! whom ask ten times as often as others and some of whom have waited too long already. In the order of arrival
-//! all would be late. Here what can still be in time goes before what can't, the more urgent before the less, each
-//! caller's first before another one's second, and then the earliest due, or the newest where the queue is long. See
-//! docs/design/waiting-openers.md.
-
-/// The most that waits: with the shortest requests of a few milliseconds, more would wait past any deadline.
+//! Load pattern: for some seconds there is more load than capacity, from callers of different
+//! priority, some of which send ten times as many requests as others, and some of which have waited
+//! too long already. In order of arrival all answers would be late. This queue serves items that
+//! can still meet their objective before those that can't, then by priority, then the first item of
+//! each caller before its second, and then the earliest due first, or the newest first while the
+//! queue is long. See docs/design/waiting-openers.md.
+
+/// The default maximum length: even with the shortest requests, of a few milliseconds, items behind
+/// that many would wait past any deadline.
 const MAX_WAITING: usize = 256;
 
-/// How many service times one that is served needs to be answered: many take longer than the mean.
+/// How many service times to allow for the answer of a served item: many take longer than the mean.
 const SERVICE_MARGIN: f64 = 2.0;
-/// How long the queue may be before the newest goes first, as a part of the latency objective.
+/// The expected wait above which the newest item is served first, as a fraction of the latency
+/// objective.
 ///
-/// While more is asked for than can be served, the order of arrival serves each one at the last moment, and all that
-/// take longer than the mean are late. The newest first, those that come are in time, and only what already waits is
-/// late.
-const LONG_QUEUE: f64 = 0.25;
+/// Under overload the order of arrival serves each item at the last moment, and all that take
+/// longer than the mean are late. Newest first, arriving items are served in time, and only those
+/// that already wait are late.
+const LONG_QUEUE_FRACTION: f64 = 0.25;
 
-/// How fast a queue is served, and what its callers aim at.
+/// The service time, the slots and the objective by which a queue is ordered.
 #[derive(Debug, Clone, Copy)]
 pub struct QueueParams {
-    /// For how long each occupies a slot, in milliseconds.
+    /// How long each item occupies a slot, in milliseconds.
     pub service_ms: f64,
-    /// How many are served at once.
+    /// How many items are served at the same time.
     pub slots: u32,
-    /// The least latency objective of those that wait, in milliseconds.
+    /// The shortest latency objective of the queued items, in milliseconds.
     pub objective_ms: u32,
 }
 
 impl QueueParams {
-    /// Returns when one that goes now is answered.
+    /// Returns the expected time of the answer to an item that is served now.
     fn answered_ms(&self, now_ms: u64) -> u64 {
         now_ms + (SERVICE_MARGIN * self.service_ms) as u64
     }
 }
 
-/// Something that waits for a slot.
+/// An item that waits for a slot.
 #[derive(Debug, Clone)]
 pub struct QueuedItem<T> {
-    /// What waits.
+    /// The item.
     pub item: T,
-    /// Tells callers apart.
+    /// Identifies the caller.
     pub caller: u64,
-    /// How urgent it is; 0 goes first.
+    /// The priority; 0 is served first.
     pub priority: u8,
-    /// When it came.
+    /// When the item was queued.
     pub since_ms: u64,
-    /// What its caller aims at, in milliseconds.
+    /// The latency objective of its caller, in milliseconds.
     pub objective_ms: u32,
-    /// The time after which its answer is late.
+    /// The time after which its answer misses the objective.
     pub due_ms: u64,
     /// The time at which its caller gives up.
     pub deadline_ms: u64,
 }
 
 impl<T> QueuedItem<T> {
-    /// Returns when its caller first asked, by which those of different objectives are told apart in age.
+    /// Returns when its caller first asked, which compares the ages of items with different
+    /// objectives.
     fn asked_ms(&self) -> u64 {
         self.due_ms.saturating_sub(self.objective_ms.into())
     }
@@ -64,62 +68,62 @@
 
 #[derive(Debug)]
 struct Entry<T> {
-    waiting: QueuedItem<T>,
-    /// How many of the same caller were waiting when it came.
+    queued: QueuedItem<T>,
+    /// How many items of the same caller were queued before this one.
     turn: u32,
 }
 
-/// What waits for a slot, kept in order of arrival.
+/// The items that wait for a slot, stored in order of arrival.
 #[derive(Debug)]
 pub struct WaitQueue<T> {
     entries: Vec<Entry<T>>,
-    most: usize,
+    max_len: usize,
 }
 
 impl<T> Default for WaitQueue<T> {
     fn default() -> Self {
         Self {
             entries: Vec::new(),
-            most: MAX_WAITING,
+            max_len: MAX_WAITING,
         }
     }
 }
 
 impl<T> WaitQueue<T> {
-    /// Makes a queue in which at most so many wait.
-    pub(crate) fn with_max_len(most: usize) -> Self {
+    /// Creates a queue of at most `max_len` items.
+    pub(crate) fn with_max_len(max_len: usize) -> Self {
         Self {
             entries: Vec::new(),
-            most,
+            max_len,
         }
     }
 
-    /// Returns how many wait.
+    /// Returns the number of queued items.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Tells whether none waits.
+    /// Returns whether the queue is empty.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Tells whether one more may wait.
+    /// Returns whether the queue has room for one more item.
     pub fn has_room(&self) -> bool {
-        self.entries.len() < self.most
+        self.entries.len() < self.max_len
     }
 
-    /// Adds one at the end; says whether there was room.
-    pub fn push(&mut self, waiting: QueuedItem<T>) -> bool {
+    /// Adds an item; returns whether there was room.
+    pub fn push(&mut self, queued: QueuedItem<T>) -> bool {
         if !self.has_room() {
             return false;
         }
-        let turn = self.turn_of(waiting.caller);
-        self.entries.push(Entry { waiting, turn });
+        let turn = self.turn_of(queued.caller);
+        self.entries.push(Entry { queued, turn });
         true
     }
 
-    /// Takes out the one that goes first of those that may go now.
+    /// Removes and returns the item to serve next, among those for which `may_go` holds.
     pub fn pop_if(
         &mut self,
         params: &QueueParams,
@@ -128,32 +132,27 @@
     ) -> Option<QueuedItem<T>> {
         let order = self.order(params, now_ms);
         let entries = self.entries.iter().enumerate();
-        let going = entries.filter(|(_, entry)| may_go(&entry.waiting.item));
-        let (index, _) = going.min_by_key(|(_, entry)| order.rank(&entry.waiting, entry.turn))?;
-        Some(self.entries.remove(index).waiting)
+        let allowed = entries.filter(|(_, entry)| may_go(&entry.queued.item));
+        let (index, _) = allowed.min_by_key(|(_, entry)| order.rank(&entry.queued, entry.turn))?;
+        Some(self.entries.remove(index).queued)
     }
 
-    /// Returns how many would go before one that came now.
-    pub fn count_ahead_of(
-        &self,
-        waiting: &QueuedItem<T>,
-        params: &QueueParams,
-        now_ms: u64,
-    ) -> u32 {
+    /// Returns how many queued items would be served before `item` if it were queued now.
+    pub fn count_ahead_of(&self, item: &QueuedItem<T>, params: &QueueParams, now_ms: u64) -> u32 {
         let order = self.order(params, now_ms);
-        let own = order.rank(waiting, self.turn_of(waiting.caller));
+        let own = order.rank(item, self.turn_of(item.caller));
         let ranks = self
             .entries
             .iter()
-            .map(|entry| order.rank(&entry.waiting, entry.turn));
+            .map(|entry| order.rank(&entry.queued, entry.turn));
         ranks.filter(|rank| *rank <= own).count() as u32
     }
 
-    /// Returns how many can still be in time; the others delay nothing that comes.
+    /// Returns how many items can still meet their objective; the others don't delay new items.
     pub fn count_in_time(&self, params: &QueueParams, now_ms: u64) -> u32 {
         let answered_ms = params.answered_ms(now_ms);
         let entries = self.entries.iter();
-        let in_time = entries.filter(|entry| answered_ms <= entry.waiting.due_ms);
+        let in_time = entries.filter(|entry| answered_ms <= entry.queued.due_ms);
         in_time.count() as u32
     }
 
@@ -162,52 +161,52 @@
         let queue_ms = in_time * params.service_ms / f64::from(params.slots.max(1));
         Order {
             answered_ms: params.answered_ms(now_ms),
-            newest_first: queue_ms > LONG_QUEUE * f64::from(params.objective_ms),
+            is_newest_first: queue_ms > LONG_QUEUE_FRACTION * f64::from(params.objective_ms),
         }
     }
 
-    /// Takes out those for which a test holds.
+    /// Removes and returns the items for which `is_taken` holds.
     pub fn take_if(&mut self, is_taken: impl Fn(&QueuedItem<T>) -> bool) -> Vec<QueuedItem<T>> {
         let taken = self
             .entries
-            .extract_if(.., |entry| is_taken(&entry.waiting))
-            .map(|entry| entry.waiting);
+            .extract_if(.., |entry| is_taken(&entry.queued))
+            .map(|entry| entry.queued);
         taken.collect()
     }
 
-    /// Returns the first in order of arrival for which a test holds.
-    pub fn find_mut(&mut self, is_it: impl Fn(&T) -> bool) -> Option<&mut T> {
-        let items = self.entries.iter_mut().map(|entry| &mut entry.waiting.item);
-        items.into_iter().find(|item| is_it(item))
+    /// Returns the oldest item for which `is_match` holds.
+    pub fn find_mut(&mut self, is_match: impl Fn(&T) -> bool) -> Option<&mut T> {
+        let items = self.entries.iter_mut().map(|entry| &mut entry.queued.item);
+        items.into_iter().find(|item| is_match(item))
     }
 
-    /// Returns what waits, in order of arrival.
+    /// Returns the queued items in order of arrival.
     pub fn iter(&self) -> impl Iterator<Item = &QueuedItem<T>> {
-        self.entries.iter().map(|entry| &entry.waiting)
+        self.entries.iter().map(|entry| &entry.queued)
     }
 
     fn turn_of(&self, caller: u64) -> u32 {
-        let of_caller = |entry: &&Entry<T>| entry.waiting.caller == caller;
+        let of_caller = |entry: &&Entry<T>| entry.queued.caller == caller;
         self.entries.iter().filter(of_caller).count() as u32
     }
 }
 
-/// The order in which those that wait are served at one moment.
+/// The order in which queued items are served at one moment.
 #[derive(Debug)]
 struct Order {
-    /// When one that goes now is answered.
+    /// The expected time of the answer to an item that is served now.
     answered_ms: u64,
-    newest_first: bool,
+    is_newest_first: bool,
 }
 
 impl Order {
-    /// Returns the place of one that waits; the least goes first.
-    fn rank<T>(&self, waiting: &QueuedItem<T>, turn: u32) -> (bool, u8, u32, u64) {
-        let is_late = self.answered_ms > waiting.due_ms;
-        let due = match self.newest_first {
-            true => u64::MAX - waiting.asked_ms(),
-            false => waiting.due_ms,
+    /// Returns the sort key of an item; the lowest is served first.
+    fn rank<T>(&self, queued: &QueuedItem<T>, turn: u32) -> (bool, u8, u32, u64) {
+        let is_late = self.answered_ms > queued.due_ms;
+        let due = match self.is_newest_first {
+            true => u64::MAX - queued.asked_ms(),
+            false => queued.due_ms,
         };
-        (is_late, waiting.priority, turn, due)
+        (is_late, queued.priority, turn, due)
     }
 }
