--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Agents correct imbalance with new flows, keep hard limits and hand an opener on at most once.
+//! Agents correct imbalance with new flows, keep to hard limits and deflect an opener at most once.
 
 mod common;
 
@@ -34,7 +34,7 @@
 }
 
 const NOW_MS: u64 = 100_000;
-const LATE_MS: u64 = REPORT_MAX_AGE_MS + 1;
+const STALE_MS: u64 = REPORT_MAX_AGE_MS + 1;
 
 fn decide(flows: u32, table: &Table, peers: &[u32], opener: &Opener) -> Decision {
     let mut random = StdRng::seed_from_u64(1);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn openers_go_where_the_level_is_lower() {
+fn targets_above_the_mean_deflect_to_peers_below_it() {
     let cases: &[(u32, &[u32], Decision)] = &[
         (100, &[100, 100], Decision::Accept),
         (90, &[100, 100], Decision::Accept),
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn full_draining_and_failing_targets_take_nothing() {
+fn full_draining_and_failing_targets_accept_no_openers() {
     let full = Table::parse(&table_text("s", &[100, 100], 10)).expect("sound");
     assert_eq!(
         decide(10, &full, &[5], &opener(1)),
@@ -71,15 +71,15 @@
         decide(10, &full, &[10], &opener(1)),
         Decision::Refuse(Code::NoTarget)
     );
-    let handed_on = Opener {
+    let deflected_opener = Opener {
         source: OpenerSource::DeflectingOwner,
         ..opener(1)
     };
-    assert_eq!(decide(10, &full, &[0], &handed_on), Decision::Return);
+    assert_eq!(decide(10, &full, &[0], &deflected_opener), Decision::Return);
     assert_eq!(
-        decide(9, &full, &[0], &handed_on),
+        decide(9, &full, &[0], &deflected_opener),
         Decision::Accept,
-        "handed on only once"
+        "deflected only once"
     );
     let returned = Opener {
         source: OpenerSource::ReturningPeer,
@@ -88,7 +88,7 @@
     assert_eq!(
         decide(9, &full, &[0], &returned),
         Decision::Accept,
-        "its owner has room after all"
+        "its owner has room"
     );
     assert_eq!(
         decide(10, &full, &[0], &returned),
@@ -107,11 +107,11 @@
         Decision::Deflect(host(1))
     );
 
-    let unheard = decide(10, &full, &[], &opener(1));
+    let without_report = decide(10, &full, &[], &opener(1));
     assert_eq!(
-        unheard,
+        without_report,
         Decision::Deflect(host(1)),
-        "an unheard peer decides itself"
+        "a peer without a report decides itself"
     );
 
     let mut random = StdRng::seed_from_u64(1);
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_returned_opener_is_settled_by_its_owner_for_good() {
+fn the_owner_decides_finally_about_a_returned_opener() {
     let mut random = StdRng::seed_from_u64(1);
     let table = table(&[100, 100]);
     let mut admission = admission_with(200);
@@ -160,17 +160,21 @@
     let second = admission.decide(&returned, &table, &mut peer_loads, NOW_MS, &mut random);
     assert_eq!(second, Decision::Accept);
     let again = admission.decide(&opener(7), &table, &mut peer_loads, NOW_MS, &mut random);
-    assert_eq!(again, Decision::Accept, "later datagrams of it stay here");
+    assert_eq!(
+        again,
+        Decision::Accept,
+        "its later datagrams get the same decision"
+    );
     let next = admission.decide(&opener(8), &table, &mut peer_loads, NOW_MS, &mut random);
     assert_eq!(
         next,
         Decision::Accept,
-        "the peer gets no more until it reports"
+        "the peer gets no more openers until its next report"
     );
 }
 
 #[test]
-fn an_opener_that_its_peer_never_answers_comes_back_to_its_owner() {
+fn an_unanswered_deflection_times_out_and_the_owner_accepts_the_opener() {
     let mut random = StdRng::seed_from_u64(1);
     let table = table(&[100, 100]);
     let mut admission = admission_with(200);
@@ -186,13 +190,13 @@
     assert_eq!(
         decide(NOW_MS + 1_000),
         Decision::Accept,
-        "repeated: the peer is dead"
+        "a retransmission: the peer has failed"
     );
     assert_eq!(decide(NOW_MS + 1_100), Decision::Accept);
 }
 
 #[test]
-fn a_cold_target_takes_its_share_by_and_by() {
+fn a_started_target_reaches_its_full_share_gradually() {
     let admission = Admission::new(host(0), 1_000);
     let shares: Vec<u16> = [1_000, 6_000, 11_000, 90_000]
         .iter()
@@ -203,7 +207,7 @@
 }
 
 #[test]
-fn a_fast_failing_server_loses_its_share_and_earns_it_back() {
+fn a_failing_server_loses_its_share_and_recovers_it() {
     let mut health = Health::default();
     assert_eq!(health.share_permille(), 1_000);
     (0..20).for_each(|_| health.outcome(false));
@@ -215,38 +219,41 @@
 }
 
 #[test]
-fn late_reports_never_replace_newer_ones_nor_come_back() {
+fn older_reports_never_replace_newer_or_stale_ones() {
     let mut peer_loads = PeerLoads::default();
     assert!(peer_loads.merge(report(1, 5, 50), 0));
-    assert!(!peer_loads.merge(report(1, 4, 40), 1), "crossed on the way");
     assert!(
-        !peer_loads.merge(report(1, 5, 50), LATE_MS),
-        "passed on by a peer after it expired"
+        !peer_loads.merge(report(1, 4, 40), 1),
+        "overtaken by a newer one"
+    );
+    assert!(
+        !peer_loads.merge(report(1, 5, 50), STALE_MS),
+        "passed on by a peer after it became stale"
     );
-    assert!(peer_loads.fresh_load(host(1), LATE_MS).is_none());
+    assert!(peer_loads.fresh_load(host(1), STALE_MS).is_none());
     let mut restarted = report(1, 1, 3);
     restarted.incarnation = 2;
-    assert!(peer_loads.merge(restarted, LATE_MS + 1));
+    assert!(peer_loads.merge(restarted, STALE_MS + 1));
     peer_loads.record_deflected_flow(host(1));
     assert_eq!(
         peer_loads
-            .fresh_load(host(1), LATE_MS + 1)
+            .fresh_load(host(1), STALE_MS + 1)
             .map(|known| known.report.open_flows),
         Some(4)
     );
 }
 
 proptest! {
-    /// Whatever agents believe of each other, no target goes beyond its connections.
+    /// However wrong the reports of peers are, no target exceeds its connections.
     #[test]
-    fn limits_are_hard_whatever_is_believed(
+    fn targets_never_exceed_their_connections(
         connections in 1u32..20,
-        beliefs in proptest::collection::vec(0u32..40, 3),
+        reported_flows in proptest::collection::vec(0u32..40, 3),
         openers in proptest::collection::vec((any::<u64>(), any::<bool>()), 1..80),
     ) {
         let text = table_text("s", &[100, 100, 100, 100], connections);
         let table = Table::parse(&text).expect("sound");
-        let mut peer_loads = peer_loads(&beliefs);
+        let mut peer_loads = peer_loads(&reported_flows);
         let mut admission = admission_with(0);
         let mut random = StdRng::seed_from_u64(3);
         let mut accepted: Vec<u64> = Vec::new();
@@ -270,36 +277,37 @@
 #[test]
 fn requests_move_until_busy_slots_follow_the_table() {
     let mut random = StdRng::seed_from_u64(1);
-    // What callers ask of each target, in slots; the third has twice the weight of the others.
-    let asked = [3.0, 1.0, 2.0];
+    // The load of each target's callers, in slots; the third target has twice the weight of the
+    // others.
+    let offered_slots = [3.0, 1.0, 2.0];
     let weights = [100.0, 100.0, 200.0];
-    let mut shares: Vec<MovedFraction> = (0..3).map(|_| MovedFraction::default()).collect();
-    let mut busy = asked;
+    let mut fractions: Vec<MovedFraction> = (0..3).map(|_| MovedFraction::default()).collect();
+    let mut busy = offered_slots;
     for _ in 0..60 {
-        for (share, busy) in shares.iter_mut().zip(busy) {
-            share.observe(busy);
+        for (fraction, busy) in fractions.iter_mut().zip(busy) {
+            fraction.observe(busy);
         }
-        let standing: Vec<SlotLoad> = (0..3)
+        let loads: Vec<SlotLoad> = (0..3)
             .map(|index| SlotLoad {
-                busy_slots: shares[index].busy_slots(),
+                busy_slots: fractions[index].busy_slots(),
                 weight: weights[index],
             })
             .collect();
         let peers = |index: usize| {
             let others = (0..3).filter(|other| *other != index);
             others
-                .map(|other| (other, standing[other]))
+                .map(|other| (other, loads[other]))
                 .collect::<Vec<_>>()
         };
-        busy = asked;
+        busy = offered_slots;
         for index in 0..3 {
             let (at, peers): (Vec<usize>, Vec<SlotLoad>) = peers(index).into_iter().unzip();
-            shares[index].adjust(weights[index], &peers);
+            fractions[index].adjust(weights[index], &peers);
             for _ in 0..200 {
-                let part = asked[index] / 200.0;
-                if shares[index].should_move(&mut random)
+                let part = offered_slots[index] / 200.0;
+                if fractions[index].should_move(&mut random)
                     && let Some(drawn) =
-                        shares[index].pick_peer(weights[index], &peers, &mut random)
+                        fractions[index].pick_peer(weights[index], &peers, &mut random)
                 {
                     busy[index] -= part;
                     busy[at[drawn]] += part;
@@ -307,9 +315,9 @@
             }
         }
     }
-    // Without moves the first target stands at twice its share.
+    // Without moves the first target has twice its share.
     for (index, share) in [1.5, 1.5, 3.0].iter().enumerate() {
-        let excess = shares[index].busy_slots() / share - 1.0;
+        let excess = fractions[index].busy_slots() / share - 1.0;
         assert!(excess < 0.15, "target {index}: {excess}");
     }
 }
--- a/tests/early_openers.rs
+++ b/tests/early_openers.rs
@@ -1,4 +1,4 @@
-//! Which openers a balancer keeps until it knows a configuration.
+//! Openers that a balancer buffers until it has a configuration.
 
 use endivedyke::{EarlyOpener, EarlyOpeners};
 
@@ -7,14 +7,14 @@
 }
 
 #[test]
-fn the_newest_copy_of_each_is_offered_and_the_earliest_copies_first() {
+fn the_newest_copy_of_each_opener_is_offered_lowest_copy_numbers_first() {
     let mut early = EarlyOpeners::default();
     early.insert(1, 1, "second copy", 1_000);
     early.insert(2, 0, "first copy", 1_010);
     early.insert(3, 2, "third copy", 1_000);
     early.insert(4, 0, "overtaken", 1_000);
     early.insert(4, 1, "its second copy", 1_020);
-    early.insert(4, 0, "late on its way", 1_025);
+    early.insert(4, 0, "reordered on the network", 1_025);
     let taken = early.take_if(1_050, |_| true);
     let order = ["first copy", "second copy", "its second copy", "third copy"];
     assert_eq!(packets(&taken), order);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn a_copy_is_kept_until_the_next_one_is_near() {
+fn a_copy_is_buffered_until_shortly_before_the_next_one() {
     for (copy, last_ms) in [(0, 99), (1, 299), (2, 699), (9, 699)] {
         for (after_ms, taken) in [(last_ms, 1), (last_ms + 1, 0)] {
             let mut early = EarlyOpeners::default();
@@ -36,19 +36,19 @@
 }
 
 #[test]
-fn what_is_kept_is_bounded() {
+fn the_buffer_is_bounded() {
     let mut early = EarlyOpeners::default();
     let kept = (0..10_000).filter(|flow| early.insert(*flow, 0, "opener", 1_000));
     assert_eq!(kept.count(), 4_096);
     assert!(
         early.insert(0, 1, "its copy", 1_010),
-        "a copy takes no room"
+        "a later copy replaces the first one"
     );
     assert_eq!(early.take_if(1_010, |_| true).len(), 4_096);
 }
 
 #[test]
-fn what_nobody_waits_for_makes_room() {
+fn expired_openers_make_room() {
     let mut early = EarlyOpeners::default();
     for flow in 0..4_096 {
         early.insert(flow, 0, "opener", 1_000);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn what_can_not_be_offered_yet_is_kept_for_its_time() {
+fn openers_that_can_not_be_offered_yet_stay_buffered() {
     let mut early = EarlyOpeners::default();
     early.insert(1, 1, "known", 1_000);
     early.insert(2, 1, "unknown yet", 1_000);
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! A request that may not be repeated runs at most once, against a plain version that never forgets.
+//! A request that must not be repeated runs at most once; a model that counts all runs checks it.
 
 use bytes::Bytes;
 use endivedyke::{BeginOutcome, Code, KeptAnswer, Ledger, MAX_KEPT_ANSWER_BYTES, MAX_KEPT_BYTES};
@@ -13,9 +13,9 @@
 }
 
 #[test]
-fn each_ending_is_final() {
-    type End = fn(&mut Ledger, u32);
-    let cases: &[(End, BeginOutcome)] = &[
+fn every_recorded_outcome_is_final() {
+    type RecordOutcome = fn(&mut Ledger, u32);
+    let cases: &[(RecordOutcome, BeginOutcome)] = &[
         (|_, _| {}, BeginOutcome::Reject(Code::InProgress)),
         (
             |ledger, ticket| ledger.record_refusal(ticket),
@@ -38,11 +38,11 @@
             BeginOutcome::Reject(Code::AnswerNotKept),
         ),
     ];
-    for (end, expected) in cases {
+    for (record_outcome, expected) in cases {
         let mut ledger = Ledger::new(10);
         let ticket = ledger.issue_ticket().expect("a ticket");
         assert_eq!(ledger.begin(ticket, 9), BeginOutcome::Run);
-        end(&mut ledger, ticket);
+        record_outcome(&mut ledger, ticket);
         assert_eq!(ledger.begin(ticket, 9), *expected);
         assert_eq!(
             ledger.begin(ticket, 8),
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn kept_answers_hold_no_memory_of_others_and_are_bounded() {
+fn kept_answers_are_bounded_and_hold_no_connection_buffers() {
     let buffer = Bytes::from(vec![1; 8_192]);
     let mut ledger = Ledger::new(100_000);
     for _ in 0..5_000 {
@@ -93,13 +93,13 @@
     }
     assert!(
         buffer.is_unique(),
-        "a kept answer copies its bytes out of the connection's buffer"
+        "a kept answer is copied out of the connection's buffer"
     );
     assert!(ledger.kept_bytes() <= MAX_KEPT_BYTES);
     assert_eq!(
         ledger.len(),
         5_000,
-        "the tickets stay known when their answers go"
+        "tickets stay recorded when their answers are dropped"
     );
     assert_eq!(
         ledger.begin(0, 1),
@@ -109,7 +109,7 @@
 }
 
 proptest! {
-    /// Any order of first tries, repeats, endings and forgetting: no ticket runs twice.
+    /// No ticket runs twice, in any order of first attempts, repeats, outcomes and evictions.
     #[test]
     fn no_ticket_runs_twice(
         capacity in 1usize..8,
--- a/tests/offers.rs
+++ b/tests/offers.rs
@@ -1,4 +1,4 @@
-//! To whom a balancer offers an opener next, by what it heard of agents.
+//! The agent to which a balancer offers an opener next, given the waits that agents reported.
 
 use std::net::Ipv4Addr;
 
@@ -8,7 +8,7 @@
     Ipv4Addr::new(10, 0, 0, index)
 }
 
-/// Candidates of one flow, built one after the other.
+/// Builds the candidates of one flow.
 #[derive(Debug, Default)]
 struct Flow {
     candidates: Vec<Candidate>,
@@ -16,14 +16,14 @@
 }
 
 impl Flow {
-    fn at_level(mean_wait_ms: f64) -> Self {
+    fn with_mean_wait(mean_wait_ms: f64) -> Self {
         Self {
             mean_wait_ms,
             ..Self::default()
         }
     }
 
-    fn with(mut self, is_same_zone: bool, wait_ms: Option<u16>, was_offered: bool) -> Self {
+    fn candidate(mut self, is_same_zone: bool, wait_ms: Option<u16>, was_offered: bool) -> Self {
         let index = self.candidates.len() as u8 + 1;
         self.candidates.push(Candidate {
             host: host(index),
@@ -35,19 +35,19 @@
         self
     }
 
-    fn near(self, wait_ms: Option<u16>) -> Self {
-        self.with(true, wait_ms, false)
+    fn same_zone(self, wait_ms: Option<u16>) -> Self {
+        self.candidate(true, wait_ms, false)
     }
 
-    fn far(self, wait_ms: Option<u16>) -> Self {
-        self.with(false, wait_ms, false)
+    fn other_zone(self, wait_ms: Option<u16>) -> Self {
+        self.candidate(false, wait_ms, false)
     }
 
     fn declined(self, wait_ms: u16) -> Self {
-        self.with(true, Some(wait_ms), true)
+        self.candidate(true, Some(wait_ms), true)
     }
 
-    fn offered(&self) -> Option<(u8, bool)> {
+    fn next_step(&self) -> Option<(u8, bool)> {
         match next_offer(&self.candidates)? {
             Offer::MayDecline(host, _) => Some((host.octets()[3], true)),
             Offer::Assigned(host) => Some((host.octets()[3], false)),
@@ -56,72 +56,72 @@
 }
 
 #[test]
-fn openers_go_where_they_wait_least() {
-    let calm = || Flow::at_level(0.0);
-    let busy = || Flow::at_level(100.0);
+fn openers_go_where_the_wait_is_expected_to_be_shortest() {
+    let calm = || Flow::with_mean_wait(0.0);
+    let busy = || Flow::with_mean_wait(100.0);
     for (name, flow, expected) in [
         (
-            "the first nearby",
-            calm().near(None).near(None).far(None),
+            "the first in the same zone",
+            calm().same_zone(None).same_zone(None).other_zone(None),
             Some((1, true)),
         ),
         (
-            "one that has room",
-            busy().near(None).near(Some(0)),
+            "an agent with a free slot",
+            busy().same_zone(None).same_zone(Some(0)),
             Some((2, true)),
         ),
         (
             "the next after a decline",
-            calm().declined(20).near(None),
+            calm().declined(20).same_zone(None),
             Some((2, true)),
         ),
         (
-            "another zone once it is worth the way",
-            calm().declined(20).far(None),
+            "another zone if the wait is longer than the round trip",
+            calm().declined(20).other_zone(None),
             Some((2, true)),
         ),
         (
-            "not for less than the way",
-            calm().declined(10).far(None),
+            "not another zone if the wait is shorter than the round trip",
+            calm().declined(10).other_zone(None),
             Some((1, false)),
         ),
         (
-            "the best of those asked",
-            busy().declined(30).declined(20).near(None),
+            "the best of the agents that declined",
+            busy().declined(30).declined(20).same_zone(None),
             Some((2, false)),
         ),
         (
-            "one that may be better than usual",
-            busy().declined(60).near(None),
+            "one that may be better than the mean",
+            busy().declined(60).same_zone(None),
             Some((2, true)),
         ),
         (
-            "one that takes none goes last",
-            busy().declined(TAKES_NONE_WAIT_MS).near(Some(900)),
+            "an agent that takes none is last",
+            busy().declined(TAKES_NONE_WAIT_MS).same_zone(Some(900)),
             Some((2, true)),
         ),
         (
-            "the only one",
+            "the only candidate",
             calm().declined(TAKES_NONE_WAIT_MS),
             Some((1, false)),
         ),
-        ("none", calm(), None),
+        ("no candidate", calm(), None),
     ] {
-        assert_eq!(flow.offered(), expected, "{name}");
+        assert_eq!(flow.next_step(), expected, "{name}");
     }
 }
 
 #[test]
-fn an_opener_is_assigned_after_a_few_offers() {
-    let mut flow = Flow::at_level(0.0);
+fn an_opener_is_assigned_after_the_maximum_number_of_offers() {
+    let mut flow = Flow::with_mean_wait(0.0);
     for wait_ms in [50, 40, 30, 45, 60] {
         flow = flow.declined(wait_ms);
     }
-    assert_eq!(flow.near(None).offered(), Some((3, false)));
+    assert_eq!(flow.same_zone(None).next_step(), Some((3, false)));
 }
 
 #[test]
-fn a_balancer_does_not_send_a_rush_to_the_one_agent_that_had_room() {
+fn a_report_of_a_free_slot_is_used_for_one_flow_only() {
     let mut waits = ReportedWaits::default();
     waits.record(host(1), true, 0, 1_000);
     assert_eq!(waits.wait_ms(host(1), 1_001), Some(0));
@@ -129,14 +129,14 @@
     assert_eq!(
         waits.wait_ms(host(1), 1_002),
         None,
-        "it may have none by now"
+        "the slot may be taken by now"
     );
     waits.record(host(1), true, 13, 1_003);
     assert_eq!(waits.wait_ms(host(1), 1_004), Some(13));
 }
 
 #[test]
-fn a_word_counts_for_a_moment_and_a_level_for_some() {
+fn reports_expire_and_the_mean_wait_decays() {
     let mut waits = ReportedWaits::default();
     for index in 1..=40 {
         waits.record(host(index), true, 100, 1_000);
@@ -150,6 +150,6 @@
     );
     assert!(
         waits.mean_wait_ms(false, 1_000) < 1.0,
-        "nothing was heard of other zones"
+        "no reports from other zones"
     );
 }
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -1,4 +1,5 @@
-//! Owners follow the weights, agree on all hosts, and move as little as an edit requires.
+//! Openers are spread by weight, independent of row order, and a weight edit moves as few as
+//! possible.
 
 mod common;
 
@@ -12,8 +13,8 @@
     place_opener(table, opener_hash, |_| true).map(|placement| placement.owner.target.as_str())
 }
 
-/// The plain version: each target as many lots as its weight, the highest lot wins.
-fn naive_owner(table: &Table, opener_hash: u64) -> Option<&str> {
+/// A simple reference: each target draws as many lots as its weight, and the highest lot wins.
+fn reference_owner(table: &Table, opener_hash: u64) -> Option<&str> {
     let lots = table
         .rows
         .iter()
@@ -39,27 +40,27 @@
 }
 
 #[test]
-fn shares_match_the_table_and_the_naive_version() {
+fn shares_match_the_weights_and_the_reference() {
     let table = table(&[1, 2, 3, 10]);
-    let ours = shares(
+    let actual = shares(
         &table,
         |hash| owner(&table, hash).map(str::to_owned),
         40_000,
     );
-    let naive = shares(
+    let reference = shares(
         &table,
-        |hash| naive_owner(&table, hash).map(str::to_owned),
+        |hash| reference_owner(&table, hash).map(str::to_owned),
         40_000,
     );
     for (index, row) in table.rows.iter().enumerate() {
-        let wanted = table.share(row);
-        assert!((ours[index] - wanted).abs() < 0.01, "{ours:?}");
-        assert!((naive[index] - wanted).abs() < 0.01, "{naive:?}");
+        let expected = table.share(row);
+        assert!((actual[index] - expected).abs() < 0.01, "{actual:?}");
+        assert!((reference[index] - expected).abs() < 0.01, "{reference:?}");
     }
 }
 
 #[test]
-fn an_edit_of_one_weight_moves_only_what_it_must() {
+fn a_weight_edit_moves_openers_only_to_the_target_that_gained() {
     let before = table(&[100, 100, 100, 100]);
     let after = table(&[100, 100, 100, 140]);
     let mut random = StdRng::seed_from_u64(5);
@@ -72,7 +73,7 @@
             assert_eq!(
                 new,
                 Some("t0003"),
-                "a flow moves only to the target that gained"
+                "an opener moves only to the target that gained"
             );
         }
     }
@@ -86,7 +87,7 @@
 
 proptest! {
     #[test]
-    fn the_runner_up_is_the_owner_when_the_owner_is_passed_over(
+    fn the_runner_up_becomes_the_owner_if_the_owner_is_not_eligible(
         weights in proptest::collection::vec(0u32..50, 2..12),
         opener_hash: u64,
     ) {
--- a/tests/slots.rs
+++ b/tests/slots.rs
@@ -1,10 +1,11 @@
-//! Slots are never exceeded, refusals are final and at once, and nobody waits past a deadline.
+//! Slots are never exceeded, refusals are immediate and final, and no request runs past its
+//! deadline.
 
 use endivedyke::{ArrivalOutcome, Code, RequestId, Slots};
 use proptest::prelude::*;
 
 #[test]
-fn refusals_come_at_once_and_say_when_to_come_back() {
+fn requests_above_the_queue_limit_are_refused_with_a_retry_time() {
     let mut slots = Slots::new(1);
     assert_eq!(slots.arrive(RequestId(1), 1_000, 0), ArrivalOutcome::Run);
     assert_eq!(slots.arrive(RequestId(2), 1_000, 0), ArrivalOutcome::Queued);
@@ -17,10 +18,10 @@
 }
 
 #[test]
-fn a_request_that_cannot_make_its_deadline_is_refused_on_arrival() {
+fn a_request_that_can_not_meet_its_deadline_is_refused_on_arrival() {
     let mut slots = Slots::new(1);
     assert_eq!(slots.arrive(RequestId(1), 1_000, 0), ArrivalOutcome::Run);
-    // 20 ms of waiting and 20 ms of service are assumed before anything is known.
+    // Before the first request has ended, 20 ms of waiting and 20 ms of service are assumed.
     for (deadline_ms, code) in [(0, Code::Deadline), (39, Code::Deadline)] {
         let ArrivalOutcome::Refused(refusal) = slots.arrive(RequestId(2), deadline_ms, 0) else {
             panic!("deadline {deadline_ms}");
@@ -31,19 +32,19 @@
 }
 
 #[test]
-fn a_thawed_process_runs_nothing_late() {
+fn a_resumed_process_runs_no_request_past_its_deadline() {
     let mut slots = Slots::new(1);
     slots.arrive(RequestId(1), 1_000, 0);
     slots.arrive(RequestId(2), 500, 0);
     slots.arrive(RequestId(3), 9_000, 0);
     slots.finish(20);
-    let next = slots.dequeue(5_000);
-    assert_eq!(next.expired, [RequestId(2)]);
-    assert_eq!(next.run, Some(RequestId(3)));
+    let dequeued = slots.dequeue(5_000);
+    assert_eq!(dequeued.expired, [RequestId(2)]);
+    assert_eq!(dequeued.run, Some(RequestId(3)));
 }
 
 #[test]
-fn those_that_wait_run_in_the_order_of_their_arrival() {
+fn waiting_requests_run_in_order_of_arrival() {
     let mut slots = Slots::new(1);
     slots.arrive(RequestId(1), 9_000, 0);
     slots.arrive(RequestId(2), 9_000, 0);
@@ -59,7 +60,7 @@
 }
 
 #[test]
-fn a_lower_limit_lets_running_requests_end() {
+fn a_lower_limit_does_not_interrupt_running_requests() {
     let mut slots = Slots::new(3);
     for id in 1..=3 {
         assert_eq!(slots.arrive(RequestId(id), 1_000, 0), ArrivalOutcome::Run);
@@ -75,7 +76,7 @@
 
 proptest! {
     #[test]
-    fn limits_hold_in_any_order(
+    fn slots_and_queue_limits_hold_for_any_events(
         limit in 1u32..6,
         events in proptest::collection::vec((0u8..4, 1u64..400), 1..200),
     ) {
@@ -98,12 +99,12 @@
                 2 if running > 0 => {
                     slots.finish(amount);
                     running -= 1;
-                    let next = slots.dequeue(now_ms);
-                    waiting.retain(|(id, _)| !next.expired.contains(id));
-                    if let Some(id) = next.run {
-                        let index = waiting.iter().position(|(known, _)| *known == id);
+                    let dequeued = slots.dequeue(now_ms);
+                    waiting.retain(|(id, _)| !dequeued.expired.contains(id));
+                    if let Some(id) = dequeued.run {
+                        let index = waiting.iter().position(|(queued, _)| *queued == id);
                         let (_, deadline_ms) = waiting.remove(index.expect("it waited"));
-                        prop_assert!(deadline_ms > now_ms, "run past its deadline");
+                        prop_assert!(deadline_ms > now_ms, "ran past its deadline");
                         running += 1;
                     }
                 }
