--- a/src/controllers/control_plane.rs
+++ b/src/controllers/control_plane.rs
@@ -142,7 +142,7 @@
     /// A process that starts while the platform is silent has no host list; those that link to it
     /// are then the peers that it can ask.
     pub(crate) fn record_inbound_link(&self, host: Ipv4Addr) {
-        self.suspicion.borrow_mut().answered(host);
+        self.suspicion.borrow_mut().record_answer(host);
         let mut linking = self.linking.borrow_mut();
         if linking.len() < MAX_LINKING_HOSTS
             && let Err(index) = linking.binary_search(&host)
@@ -245,7 +245,7 @@
             "tables": tables,
             "hosts": store.hosts(),
             "links": self.peers.linked_hosts(),
-            "suspected": self.suspicion.borrow().suspected(now_ms),
+            "suspected": self.suspicion.borrow().suspected_hosts(now_ms),
         })
     }
 }
--- a/src/opaque/flows/flow_search.rs
+++ b/src/opaque/flows/flow_search.rs
@@ -141,7 +141,7 @@
         // If the map is full, the search starts again with each copy.
         let _ = self.shown.insert(*flow, from + count);
         let hosts = self.agents.iter().map(|agent| agent.host).collect();
-        placement::first_hosts(hosts, flow.hash(), from + count).split_off(from)
+        placement::top_ranked_hosts(hosts, flow.hash(), from + count).split_off(from)
     }
 
     fn expire_agents(&mut self, now_ms: u64) {
--- a/src/opaque/flows/lookup.rs
+++ b/src/opaque/flows/lookup.rs
@@ -282,7 +282,7 @@
     }
     let mut others = directory.current_hosts().to_vec();
     others.retain(|host| *host != own_host);
-    let mut order = placement::first_hosts(others, lookup.flow.hash(), MAX_QUERIED);
+    let mut order = placement::top_ranked_hosts(others, lookup.flow.hash(), MAX_QUERIED);
     let is_unanswered = |host: &Ipv4Addr| hosts.binary_search(host).is_ok();
     if order[..LARGE_SITE_BATCH].iter().any(is_unanswered) {
         order.truncate(LARGE_SITE_BATCH);
--- a/src/opaque/forwarder.rs
+++ b/src/opaque/forwarder.rs
@@ -13,7 +13,7 @@
 
 use crate::code::Code;
 use crate::decisions::early_openers::EarlyOpeners;
-use crate::decisions::known_waits::KnownWaits;
+use crate::decisions::reported_waits::ReportedWaits;
 use crate::decisions::suspicion::Suspicion;
 use crate::error::{Error, Result};
 use crate::opaque::flows::flow_map::FlowMap;
@@ -85,7 +85,7 @@
     /// The loads over ten seconds, whose mean goes to agents with each opener.
     steady_loads: HostLoads,
     means: ServiceMeans,
-    waits: KnownWaits,
+    waits: ReportedWaits,
     /// Openers that arrived before a configuration.
     early_openers: EarlyOpeners<FlowKey, Vec<u8>>,
     retries: RetryTracker,
@@ -114,7 +114,7 @@
             loads: HostLoads::default(),
             steady_loads: HostLoads::default(),
             means: ServiceMeans::default(),
-            waits: KnownWaits::default(),
+            waits: ReportedWaits::default(),
             early_openers: EarlyOpeners::default(),
             retries: RetryTracker::new(),
         }
@@ -245,8 +245,8 @@
     /// Removes expired hints, loads, waits, early openers and retries.
     pub fn expire(&mut self, now_ms: u64) {
         self.loads.expire(now_ms);
-        self.waits.expire(now_ms);
-        self.early_openers.expire(now_ms);
+        self.waits.remove_expired(now_ms);
+        self.early_openers.remove_expired(now_ms);
         self.steady_loads.expire(now_ms);
         self.retries.expire(now_ms);
         let lifetime_ms = self.flow_lifetime_ms;
--- a/src/opaque/forwarder/offers.rs
+++ b/src/opaque/forwarder/offers.rs
@@ -7,7 +7,7 @@
 use std::net::Ipv4Addr;
 
 use crate::code::Code;
-use crate::decisions::offers::{Candidate, Offer, choose};
+use crate::decisions::offers::{Candidate, Offer, next_offer};
 use crate::decisions::suspicion::Suspicion;
 use crate::error::{Error, Result};
 use crate::opaque::forwarder::sent_openers::{ANSWER_TIMEOUT_MS, SentOpener};
@@ -34,8 +34,8 @@
         wait_ms: u16,
         now_ms: u64,
     ) {
-        let is_near = directory.is_in_zone(host, &self.zone);
-        self.waits.heard(host, is_near, wait_ms, now_ms);
+        let is_same_zone = directory.is_in_zone(host, &self.zone);
+        self.waits.record(host, is_same_zone, wait_ms, now_ms);
     }
 
     /// Sends a copy of an opener to the agent that has it, or offers it to an agent.
@@ -88,7 +88,7 @@
         let flow = sent.flow;
         let none = || Error::new(Code::HostUnknown, flow.called.to_string());
         let candidates = self.candidates(directory, suspicion, &sent, now_ms)?;
-        let offer = choose(&candidates).ok_or_else(none)?;
+        let offer = next_offer(&candidates).ok_or_else(none)?;
         let mut message = self.delivery_message(sent.waited_ms);
         let host = match offer {
             // An agent that does not answer may run a version without offers.
@@ -107,7 +107,7 @@
             sent.offered_hosts.len() + 1,
             message.kind == MessageKind::Deliver
         );
-        self.waits.sent(host);
+        self.waits.record_sent_flow(host);
         sent.host = host;
         sent.offered_hosts.push(host);
         sent.sent_ms = now_ms;
@@ -126,11 +126,11 @@
     ) -> Result<Vec<Candidate>> {
         let flow = &sent.flow;
         let hosts = candidates::for_offers(directory, suspicion, &self.zone, flow, now_ms)?;
-        let candidate = |(host, is_near)| Candidate {
+        let candidate = |(host, is_same_zone)| Candidate {
             host,
-            is_near,
-            wait_ms: self.waits.get(host, now_ms),
-            level_ms: self.waits.level_ms(is_near, now_ms),
+            is_same_zone,
+            wait_ms: self.waits.wait_ms(host, now_ms),
+            mean_wait_ms: self.waits.mean_wait_ms(is_same_zone, now_ms),
             was_offered: sent.offered_hosts.contains(&host),
         };
         Ok(hosts.into_iter().map(candidate).collect())
--- a/src/opaque/openers/opener_order.rs
+++ b/src/opaque/openers/opener_order.rs
@@ -41,7 +41,7 @@
     is_eligible: impl Fn(Ipv4Addr) -> bool,
 ) -> Option<Ipv4Addr> {
     let table = scene.directory.table_for_flow(key)?;
-    let order = placement::ranked(table, key.hash(), |row| {
+    let order = placement::rank_targets(table, key.hash(), |row| {
         let trusted = !scene.suspicion.is_suspected(row.host, scene.now_ms);
         row.host == own || (row.weight > 0 && trusted && is_eligible(row.host))
     });
@@ -66,6 +66,6 @@
     let Some(table) = scene.directory.table_for_flow(key) else {
         return Vec::new();
     };
-    let order = placement::ranked_by_slots(table, key.hash(), |row| row.host != own);
+    let order = placement::rank_targets_by_slots(table, key.hash(), |row| row.host != own);
     order.iter().take(count).map(|row| row.host).collect()
 }
--- a/src/programs/daemon.rs
+++ b/src/programs/daemon.rs
@@ -206,7 +206,7 @@
     let resumed = control.clone();
     control.timers.on_resume(move || {
         resumed.peers.drop_links();
-        resumed.suspicion.borrow_mut().forget_all();
+        resumed.suspicion.borrow_mut().clear();
         let control = resumed.clone();
         compio::runtime::spawn(async move {
             relay::compare_once(&control).await;
--- a/tests/opaque/message_bounds.rs
+++ b/tests/opaque/message_bounds.rs
@@ -106,7 +106,7 @@
     fn agent_in_order(&self, key: &FlowKey, place: usize) -> Ipv4Addr {
         let table = self.agents.directory.table(ServiceId::from_name(SERVICE));
         let table = table.expect("a service");
-        endivedyke::ranked(table, key.hash(), |_| true)[place].host
+        endivedyke::rank_targets(table, key.hash(), |_| true)[place].host
     }
 
     /// Fills every second backend server up to its limit.
