--- a/src/opaque/keeper.rs
+++ b/src/opaque/flow_agent.rs
@@ -3,18 +3,18 @@
 //! Nothing is proof but the backend server itself, which returns each packet of a flow that it does
 //! not hold. What the agent remembers saves asking it. See docs/OPAQUE.md, "Finding a flow".
 
-mod answers;
-mod backend_life;
+mod backend_packets;
+mod backend_process;
+mod balancer_messages;
 mod declines;
 mod delivery;
-mod handing_on;
-mod held_requests;
+mod hand_on;
+mod held_back_requests;
+mod lookups;
 mod opener_checks;
 mod opener_limits;
 mod openers;
-mod questions;
 mod stall;
-mod told;
 mod waiting;
 
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -30,7 +30,7 @@
 use crate::opaque::finding::flow::Flow;
 use crate::opaque::finding::flow_book::FlowBook;
 use crate::opaque::finding::lookup::Lookups;
-use crate::opaque::keeper::waiting::WaitingWork;
+use crate::opaque::flow_agent::waiting::WaitingWork;
 use crate::opaque::openers::cold_rate::ColdRate;
 use crate::opaque::openers::mean_load::{FAILING_LOAD, MeanLoad, RECENT_SPAN_MS, STEADY_SPAN_MS};
 use crate::opaque::openers::recent_outcomes::RecentOutcomes;
@@ -47,7 +47,7 @@
 const BACKEND_TIMEOUT_MS: u64 = 50;
 
 /// What an agent looks at while it decides.
-pub struct Scene<'a> {
+pub struct AgentContext<'a> {
     /// The published backend servers and routes.
     pub directory: &'a Directory,
     /// Who is believed to be dead.
@@ -55,14 +55,14 @@
     /// The highest revision in force here.
     pub revision: Revision,
     /// Whether a backend server that is not published may be taken for gone.
-    pub settled: bool,
+    pub is_settled: bool,
     /// The time, in milliseconds.
     pub now_ms: u64,
 }
 
 /// Who an agent is and which backend server stands beside it.
 #[derive(Debug, Clone, Copy)]
-pub struct KeeperIdentity {
+pub struct AgentIdentity {
     /// The agent's host.
     pub host: Ipv4Addr,
     /// Where its backend server takes packets.
@@ -75,9 +75,9 @@
 
 /// The flows of one agent, and what they ask of it.
 #[derive(Debug)]
-pub struct Keeper {
+pub struct FlowAgent {
     wire: WireFormat,
-    identity: KeeperIdentity,
+    identity: AgentIdentity,
     metrics: OpaqueMetrics,
     flows: FlowBook,
     /// The load over the last second, which is told.
@@ -100,15 +100,15 @@
     lookups: Lookups,
     pending: Vec<FlowKey>,
     balancers: KnownBalancers,
-    knows_all: bool,
-    backend_up: bool,
+    knows_all_flows: bool,
+    is_backend_up: bool,
     leaving: bool,
     silent_since_ms: Option<u64>,
     refused_since_ms: Option<u64>,
     refusing: bool,
     listens: bool,
     /// Whether its silence says that the connection to it should be made anew.
-    doubted: bool,
+    wants_reconnect: bool,
     /// When the connection to the backend server first broke in the lifetime that is published.
     broke_ms: Option<u64>,
     /// The lifetime of the backend server that was published last.
@@ -117,12 +117,12 @@
     last_probe_ms: u64,
 }
 
-impl Keeper {
-    /// Makes the keeper of an agent; `knows_all` where no flow can be older than it.
+impl FlowAgent {
+    /// Creates an agent; `knows_all_flows` where no flow can be older than it.
     pub fn new(
         wire: WireFormat,
-        identity: KeeperIdentity,
-        knows_all: bool,
+        identity: AgentIdentity,
+        knows_all_flows: bool,
         metrics: &OpaqueMetrics,
     ) -> Self {
         Self {
@@ -144,14 +144,14 @@
             lookups: Lookups::new(metrics),
             pending: Vec::new(),
             balancers: KnownBalancers::default(),
-            knows_all,
-            backend_up: true,
+            knows_all_flows,
+            is_backend_up: true,
             leaving: false,
             silent_since_ms: None,
             refused_since_ms: None,
             refusing: false,
             listens: false,
-            doubted: false,
+            wants_reconnect: false,
             broke_ms: None,
             lifetime: None,
             last_heard_ms: 0,
@@ -165,15 +165,15 @@
     }
 
     /// Returns the mean load of the backend server, for balancers to choose by.
-    pub fn load_permille(&mut self, scene: &Scene<'_>) -> u16 {
-        self.load.changed(self.flows.busy(), scene.now_ms);
-        self.steady_load.changed(self.flows.busy(), scene.now_ms);
-        self.note_slots(scene);
-        if self.outcomes.is_failing(scene.now_ms) || self.is_stalled(scene.now_ms) {
+    pub fn load_permille(&mut self, context: &AgentContext<'_>) -> u16 {
+        self.load.changed(self.flows.busy(), context.now_ms);
+        self.steady_load.changed(self.flows.busy(), context.now_ms);
+        self.note_slots(context);
+        if self.outcomes.is_failing(context.now_ms) || self.is_stalled(context.now_ms) {
             // What fails at once looks idle, and would attract what others could serve.
             return FAILING_LOAD;
         }
-        let slots = self.own_slots(scene);
+        let slots = self.own_slots(context);
         slots.map_or(UNKNOWN_LOAD, |slots| self.load.permille(slots))
     }
 
@@ -183,22 +183,22 @@
     }
 
     /// Tells whether this agent knows every flow of its backend server.
-    pub fn knows_all(&self) -> bool {
-        self.knows_all
+    pub fn knows_all_flows(&self) -> bool {
+        self.knows_all_flows
     }
 
     /// Notes that every flow of the backend server was opened under this agent's eyes.
-    pub fn set_knows_all(&mut self) {
-        self.knows_all = true;
+    pub fn set_knows_all_flows(&mut self) {
+        self.knows_all_flows = true;
     }
 
     /// Tells whether the backend server is believed to be there.
-    pub fn backend_up(&self) -> bool {
-        self.backend_up
+    pub fn is_backend_up(&self) -> bool {
+        self.is_backend_up
     }
 
-    /// Tells whether [`Keeper::tick`] has something to wait for.
-    pub fn is_waiting(&self) -> bool {
+    /// Tells whether [`FlowAgent::tick`] has something to wait for.
+    pub fn needs_tick(&self) -> bool {
         !self.pending.is_empty() || !self.lookups.is_empty() || !self.waiting.is_empty()
     }
 
@@ -207,9 +207,9 @@
     /// # Errors
     ///
     /// Returns the code for which the packet in it is dropped.
-    pub fn peer_says(
+    pub fn handle_peer_message(
         &mut self,
-        scene: &Scene<'_>,
+        context: &AgentContext<'_>,
         from: Ipv4Addr,
         message: &Message,
         payload: &[u8],
@@ -217,27 +217,27 @@
         let mut actions = Vec::new();
         let comes_in = matches!(message.kind, MessageKind::Deliver | MessageKind::Offer);
         if comes_in && message.host == from {
-            self.balancers.heard(from, scene.now_ms);
+            self.balancers.heard(from, context.now_ms);
         }
         match message.kind {
             MessageKind::Deliver | MessageKind::HandOn | MessageKind::Offer => {
                 let segment = (self.wire.decode)(payload)?;
                 if segment.opens {
-                    self.opener(scene, &segment, payload, message, &mut actions);
+                    self.opener(context, &segment, payload, message, &mut actions);
                 } else {
-                    self.packet(scene, &segment, payload, message, &mut actions);
+                    self.packet(context, &segment, payload, message, &mut actions);
                 }
             }
             MessageKind::Find => {
                 let segment = (self.wire.decode)(payload)?;
-                self.find(scene, &segment, payload, from, &mut actions);
+                self.find(context, &segment, payload, from, &mut actions);
             }
-            MessageKind::Found => self.found(scene, from, payload, &mut actions),
+            MessageKind::Found => self.found(context, from, payload, &mut actions),
             MessageKind::Absent => {
                 if let Some(key) = FlowKey::from_bytes(payload) {
                     let revision = message.digest.highest;
                     self.lookups.absent(&key, from, revision);
-                    self.conclude(scene, &key, &mut actions);
+                    self.conclude(context, &key, &mut actions);
                 }
             }
             MessageKind::Holds
@@ -256,39 +256,43 @@
     /// # Errors
     ///
     /// Returns the code for which the packet is dropped.
-    pub fn backend_says(&mut self, scene: &Scene<'_>, packet: Vec<u8>) -> Result<Vec<Action>> {
+    pub fn handle_backend_packet(
+        &mut self,
+        context: &AgentContext<'_>,
+        packet: Vec<u8>,
+    ) -> Result<Vec<Action>> {
         let segment = (self.wire.decode)(&packet)?;
-        self.backend_up = true;
+        self.is_backend_up = true;
         self.silent_since_ms = None;
         self.refused_since_ms = None;
-        self.last_heard_ms = scene.now_ms;
+        self.last_heard_ms = context.now_ms;
         let mut actions = Vec::new();
         if segment.returned {
             self.metrics.packets_returned.inc();
-            self.returned(scene, &segment, packet, &mut actions);
+            self.returned(context, &segment, packet, &mut actions);
         } else {
-            self.answer(scene, &segment, &packet);
+            self.answer(context, &segment, &packet);
             let flow = segment.flow_from_backend();
             actions.push(Action::ToCaller(flow.caller, packet));
         }
-        self.serve_waiting(scene, &mut actions);
+        self.serve_waiting(context, &mut actions);
         Ok(actions)
     }
 
     /// Does what is due: openers without an answer, packets that were not returned, questions.
-    pub fn tick(&mut self, scene: &Scene<'_>) -> Vec<Action> {
+    pub fn tick(&mut self, context: &AgentContext<'_>) -> Vec<Action> {
         let mut actions = Vec::new();
         let pending = std::mem::take(&mut self.pending);
         for key in pending {
-            if !self.settle(scene, &key, &mut actions) {
+            if !self.settle(context, &key, &mut actions) {
                 self.pending.push(key);
             }
         }
-        self.serve_waiting(scene, &mut actions);
+        self.serve_waiting(context, &mut actions);
         for key in self.lookups.flows() {
-            self.conclude(scene, &key, &mut actions);
+            self.conclude(context, &key, &mut actions);
         }
-        for (host, packet) in self.lookups.due(scene.directory, scene.now_ms) {
+        for (host, packet) in self.lookups.due(context.directory, context.now_ms) {
             let message = Message::new(MessageKind::Find);
             actions.push(Action::ToPeer(host, message, packet));
         }
@@ -299,8 +303,8 @@
                 given_up.unanswered.len(),
                 given_up.unanswered.first(),
                 given_up.newest_revision,
-                scene.revision,
-                scene.settled
+                context.revision,
+                context.is_settled
             );
         }
         actions
@@ -309,7 +313,7 @@
     /// Forgets flows of which nothing was heard for as long as a flow lives.
     pub fn expire(&mut self, now_ms: u64) {
         for _ in 0..self.flows.expire(now_ms) {
-            self.doubted = true;
+            self.wants_reconnect = true;
             self.note_failed(now_ms);
         }
     }
@@ -318,7 +322,7 @@
     fn remember(&mut self, key: FlowKey, flow: Flow, now_ms: u64) -> bool {
         let remembered = self.flows.insert(key, flow, now_ms);
         if !remembered {
-            self.knows_all = false;
+            self.knows_all_flows = false;
             log::warn!("event=flows_full flow={key} open={}", self.flows.open());
         }
         remembered
--- a/src/opaque/keeper/answers.rs
+++ b/src/opaque/flow_agent/backend_packets.rs
@@ -3,8 +3,8 @@
 use std::net::Ipv4Addr;
 
 use crate::opaque::finding::flow::{Flow, Holding, Origin, Running};
-use crate::opaque::keeper::stall::may_go_on;
-use crate::opaque::keeper::{BACKEND_TIMEOUT_MS, Keeper, Scene, tell};
+use crate::opaque::flow_agent::stall::may_go_on;
+use crate::opaque::flow_agent::{AgentContext, BACKEND_TIMEOUT_MS, FlowAgent, tell};
 use crate::opaque::packets::action::Action;
 use crate::opaque::packets::message::MessageKind;
 use crate::opaque::packets::segment::{FlowKey, Segment};
@@ -41,11 +41,11 @@
     }
 }
 
-impl Keeper {
+impl FlowAgent {
     /// Takes a packet that the backend server returned.
     pub(super) fn returned(
         &mut self,
-        scene: &Scene<'_>,
+        context: &AgentContext<'_>,
         segment: &Segment,
         mut packet: Vec<u8>,
         actions: &mut Vec<Action>,
@@ -57,14 +57,14 @@
         };
         match flow.holding.clone() {
             Holding::Opening(opening) => {
-                self.flows.remove(&key, scene.now_ms);
-                self.hand_on(scene, &key, opening, actions);
+                self.flows.remove(&key, context.now_ms);
+                self.hand_on(context, &key, opening, actions);
             }
             // A late copy of an opener whose flow has opened already, here or elsewhere.
             _ if segment.opens => {}
             holding => {
                 self.stall.withdrawn(key);
-                let lost = self.flows.update(&key, scene.now_ms, |flow| {
+                let lost = self.flows.update(&key, context.now_ms, |flow| {
                     flow.holding = Holding::Absent;
                     flow.running.take()
                 });
@@ -84,19 +84,19 @@
                         ..
                     } => {
                         self.metrics.ends_proved_by_backend.inc();
-                        self.end_gone(scene, &key, segment.acknowledgement, 0, actions);
+                        self.end_gone(context, &key, segment.acknowledgement, 0, actions);
                     }
-                    _ => self.look_up(scene, segment, &packet, Ipv4Addr::UNSPECIFIED, actions),
+                    _ => self.look_up(context, segment, &packet, Ipv4Addr::UNSPECIFIED, actions),
                 }
             }
         }
     }
 
     /// Notes what an answer of the backend server tells of its flow.
-    pub(super) fn answer(&mut self, scene: &Scene<'_>, segment: &Segment, packet: &[u8]) {
-        let now_ms = scene.now_ms;
+    pub(super) fn answer(&mut self, context: &AgentContext<'_>, segment: &Segment, packet: &[u8]) {
+        let now_ms = context.now_ms;
         let key = segment.flow_from_backend();
-        let has_deadline = scene.directory.has_deadline(key.called);
+        let has_deadline = context.directory.has_deadline(key.called);
         // What the backend server has acknowledged is no new request when its caller sends it again.
         let tells_acknowledged = has_deadline && !segment.resets;
         let acknowledged = tells_acknowledged.then_some(segment.acknowledgement);
@@ -163,8 +163,8 @@
                     // A refusal says nothing of how long requests take.
                     self.slot_time.answered(now_ms);
                 }
-                self.note_slots(scene);
-                self.note_answer(scene, &key, &running, status);
+                self.note_slots(context);
+                self.note_answer(context, &key, &running, status);
             }
             Some((running, Some(end))) => self.note_closed(&key, &running, end, now_ms),
             None => {}
@@ -187,17 +187,17 @@
 
     fn note_answer(
         &mut self,
-        scene: &Scene<'_>,
+        context: &AgentContext<'_>,
         key: &FlowKey,
         running: &Running,
         status: Option<u16>,
     ) {
-        let now_ms = scene.now_ms;
+        let now_ms = context.now_ms;
         let took_ms = now_ms.saturating_sub(running.since_ms);
         self.metrics
             .request_seconds
             .observe(took_ms as f64 / 1_000.0);
-        if status == Some(OVERLOADED_STATUS) && self.is_full(scene, key) {
+        if status == Some(OVERLOADED_STATUS) && self.is_full(context, key) {
             // In a rush it would seem to fail, and be left idle as soon as it has room again.
             self.metrics.requests_shed.inc();
             let busy = self.flows.busy();
@@ -223,7 +223,7 @@
     /// Does what is due for one flow; says whether nothing more is awaited.
     pub(super) fn settle(
         &mut self,
-        scene: &Scene<'_>,
+        context: &AgentContext<'_>,
         key: &FlowKey,
         actions: &mut Vec<Action>,
     ) -> bool {
@@ -232,21 +232,21 @@
         };
         match flow.holding.clone() {
             Holding::Opening(opening) if !opening.answered => {
-                if scene.now_ms < opening.since_ms + BACKEND_TIMEOUT_MS {
+                if context.now_ms < opening.since_ms + BACKEND_TIMEOUT_MS {
                     return false;
                 }
                 if self.silent_since_ms.replace(opening.since_ms).is_none() {
-                    self.doubted = true;
+                    self.wants_reconnect = true;
                     log::warn!("event=backend_silent flow={key} waited_ms={BACKEND_TIMEOUT_MS}");
                 }
-                self.hand_on(scene, key, opening, actions);
+                self.hand_on(context, key, opening, actions);
             }
             Holding::Unconfirmed { since_ms, origin } => {
-                if scene.now_ms < since_ms + BACKEND_TIMEOUT_MS {
+                if context.now_ms < since_ms + BACKEND_TIMEOUT_MS {
                     return false;
                 }
                 self.flows
-                    .update(key, scene.now_ms, |flow| flow.holding = Holding::Open);
+                    .update(key, context.now_ms, |flow| flow.holding = Holding::Open);
                 if let Origin::Asker(asker) = origin {
                     tell(MessageKind::Found, key, asker, actions);
                 }
--- a/src/opaque/keeper/backend_life.rs
+++ b/src/opaque/flow_agent/backend_process.rs
@@ -3,7 +3,7 @@
 use crate::code::Code;
 use crate::decisions::service_time::SlotTime;
 use crate::opaque::finding::remains::Remains;
-use crate::opaque::keeper::{Keeper, Scene};
+use crate::opaque::flow_agent::{AgentContext, FlowAgent};
 use crate::opaque::openers::recent_outcomes::RecentOutcomes;
 use crate::opaque::packets::action::Action;
 use crate::opaque::values::directory::Directory;
@@ -15,42 +15,42 @@
 /// it is stopped, takes its flows for gone, in milliseconds: some copies of a packet that waits.
 const STILL_MS: u64 = 500;
 
-impl Keeper {
+impl FlowAgent {
     /// Tells whether the backend server runs and is not published, so that no other process knows of it.
     ///
     /// Its entry may have lapsed while the platform's service was away, or another program wrote there; who
     /// starts then finds none.
-    pub fn is_unlisted(&self, directory: &Directory) -> bool {
+    pub fn is_backend_unlisted(&self, directory: &Directory) -> bool {
         let own = directory.own(self.identity.backend);
         self.listens && own.is_none_or(|own| own.is_gone || !own.is_usable)
     }
 
     /// Tells whether the backend server gave a reason since the last call to look whether it still listens.
-    pub fn take_doubt(&mut self) -> bool {
-        std::mem::take(&mut self.doubted)
+    pub fn take_reconnect_request(&mut self) -> bool {
+        std::mem::take(&mut self.wants_reconnect)
     }
 
     /// Notes that nothing listens at the backend server's address.
     ///
     /// One that drains stops listening long before it has ended its flows, so that this is proof only
     /// of one that should be there.
-    pub fn backend_refuses(&mut self, scene: &Scene<'_>) -> Vec<Action> {
+    pub fn handle_backend_refused(&mut self, context: &AgentContext<'_>) -> Vec<Action> {
         self.refusing = true;
         self.listens = false;
-        let own = scene.directory.own(self.identity.backend);
+        let own = context.directory.own(self.identity.backend);
         if own.is_some_and(|own| !own.takes_flows) {
             return Vec::new();
         }
-        let since_ms = *self.refused_since_ms.get_or_insert(scene.now_ms);
-        if scene.now_ms < since_ms + REFUSED_MS {
+        let since_ms = *self.refused_since_ms.get_or_insert(context.now_ms);
+        if context.now_ms < since_ms + REFUSED_MS {
             return Vec::new();
         }
-        self.backend_ended(scene)
+        self.backend_ended(context)
     }
 
     /// Notes that something listens at the backend server's address.
-    pub fn backend_listens(&mut self, now_ms: u64) {
-        self.backend_up = true;
+    pub fn handle_backend_listening(&mut self, now_ms: u64) {
+        self.is_backend_up = true;
         if std::mem::take(&mut self.refusing) {
             // Nothing listened before, so that its process has just started; its entry tells that later.
             self.maybe_cold_since_ms = Some(now_ms);
@@ -63,28 +63,28 @@
     ///
     /// The agent of a backend server that has left is stopped after it, so that flows which still seem
     /// open there are gone.
-    pub fn leave(&mut self, scene: &Scene<'_>) -> Vec<Action> {
+    pub fn leave(&mut self, context: &AgentContext<'_>) -> Vec<Action> {
         self.leaving = true;
-        let own = scene.directory.own(self.identity.backend);
+        let own = context.directory.own(self.identity.backend);
         let gone = own.is_some_and(|own| own.is_gone && !own.takes_flows);
-        let still = scene.now_ms >= self.last_heard_ms + STILL_MS;
+        let still = context.now_ms >= self.last_heard_ms + STILL_MS;
         let mut actions = Vec::new();
         if gone && still && self.refusing {
-            actions = self.backend_ended(scene);
+            actions = self.backend_ended(context);
         }
-        self.pass_on_waiting(scene, &mut actions);
+        self.pass_on_waiting(context, &mut actions);
         actions
     }
 
     /// Ends all flows of a backend server whose process is gone at once, so that their callers open
     /// new ones instead of waiting.
-    fn backend_ended(&mut self, scene: &Scene<'_>) -> Vec<Action> {
-        self.knows_all = true;
-        if !std::mem::replace(&mut self.backend_up, false) {
+    fn backend_ended(&mut self, context: &AgentContext<'_>) -> Vec<Action> {
+        self.knows_all_flows = true;
+        if !std::mem::replace(&mut self.is_backend_up, false) {
             return Vec::new();
         }
         // Whatever came in until now was for the process that has ended.
-        let remains = self.flows.take_remains(u64::MAX, scene.now_ms);
+        let remains = self.flows.take_remains(u64::MAX, context.now_ms);
         self.pending.clear();
         self.stall.forget();
         self.forget_slot_times();
@@ -92,16 +92,16 @@
             "event=backend_ended flows={} openers={} last_packet_ms_ago={} revision={}",
             remains.flows.len(),
             remains.openers.len(),
-            scene.now_ms.saturating_sub(self.last_heard_ms),
-            scene.revision
+            context.now_ms.saturating_sub(self.last_heard_ms),
+            context.revision
         );
-        let mut actions = self.close_remains(scene, remains);
-        self.pass_on_waiting(scene, &mut actions);
+        let mut actions = self.close_remains(context, remains);
+        self.pass_on_waiting(context, &mut actions);
         actions
     }
 
     /// Resets the flows that are left of a backend server, and passes its openers on.
-    fn close_remains(&self, scene: &Scene<'_>, remains: Remains) -> Vec<Action> {
+    fn close_remains(&self, context: &AgentContext<'_>, remains: Remains) -> Vec<Action> {
         let mut actions = Vec::new();
         for ended in remains.flows {
             self.reset(
@@ -112,13 +112,13 @@
             );
         }
         for (key, opening) in remains.openers {
-            self.hand_on(scene, &key, opening, &mut actions);
+            self.hand_on(context, &key, opening, &mut actions);
         }
         actions
     }
 
     /// Notes that the connection to the backend server broke.
-    pub fn backend_breaks(&mut self, now_ms: u64) {
+    pub fn handle_backend_disconnected(&mut self, now_ms: u64) {
         self.listens = false;
         self.broke_ms.get_or_insert(now_ms);
     }
@@ -128,13 +128,13 @@
     /// It shows that the one before has ended, so that flows from before the first break of the connection
     /// since then are gone. Without it, a backend server that restarts at once leaves callers waiting whose
     /// requests it had acknowledged: they send nothing more that could be returned.
-    pub fn published_changed(&mut self, scene: &Scene<'_>) -> Vec<Action> {
-        let Some(own) = scene.directory.own(self.identity.backend) else {
+    pub fn handle_published_change(&mut self, context: &AgentContext<'_>) -> Vec<Action> {
+        let Some(own) = context.directory.own(self.identity.backend) else {
             return Vec::new();
         };
         if std::mem::replace(&mut self.was_evacuated, own.is_evacuated) && !own.is_evacuated {
             // It may have become cold meanwhile, and its entry tells that only with its next sign of life.
-            self.maybe_cold_since_ms = Some(scene.now_ms);
+            self.maybe_cold_since_ms = Some(context.now_ms);
         }
         let before = self.lifetime.replace(own);
         if before.is_none_or(|before| !own.has_replaced(&before)) {
@@ -144,15 +144,15 @@
         let Some(broke_ms) = self.broke_ms.take() else {
             return Vec::new();
         };
-        let remains = self.flows.take_remains(broke_ms, scene.now_ms);
+        let remains = self.flows.take_remains(broke_ms, context.now_ms);
         log::info!(
             "event=backend_restarted flows={} openers={} broke_ms_ago={} revision={}",
             remains.flows.len(),
             remains.openers.len(),
-            scene.now_ms.saturating_sub(broke_ms),
-            scene.revision
+            context.now_ms.saturating_sub(broke_ms),
+            context.revision
         );
-        self.close_remains(scene, remains)
+        self.close_remains(context, remains)
     }
 
     /// Forgets how the lifetime before fared: a process that has just started has failed nothing yet, and
--- a/src/opaque/keeper/declines.rs
+++ b/src/opaque/flow_agent/declines.rs
@@ -9,7 +9,7 @@
 
 use crate::decisions::offers::TAKES_NONE_MS;
 use crate::opaque::finding::flow::Opening;
-use crate::opaque::keeper::{Keeper, Scene, tell};
+use crate::opaque::flow_agent::{AgentContext, FlowAgent, tell};
 use crate::opaque::packets::action::Action;
 use crate::opaque::packets::message::{Message, MessageKind, UNKNOWN_LOAD};
 use crate::opaque::packets::segment::FlowKey;
@@ -35,11 +35,16 @@
     TakesNone,
 }
 
-impl Keeper {
+impl FlowAgent {
     /// Tells whether an opener that could be taken should rather go to an agent with less to do.
     ///
     /// Only one whose caller has not waited goes on: each further agent is a risk and some milliseconds.
-    pub(super) fn declines(&self, scene: &Scene<'_>, opening: &Opening, message: &Message) -> bool {
+    pub(super) fn declines(
+        &self,
+        context: &AgentContext<'_>,
+        opening: &Opening,
+        message: &Message,
+    ) -> bool {
         let is_fresh = opening.copy == 0 && opening.waited_ms == 0;
         let from_balancer = matches!(message.kind, MessageKind::Deliver | MessageKind::Offer);
         let may_decline = from_balancer && is_fresh;
@@ -48,19 +53,19 @@
         }
         let mean = f64::from(message.load_permille);
         let most = mean + (MARGIN * mean).max(MIN_MARGIN_PERMILLE);
-        let own = self.steady_permille(scene);
+        let own = self.steady_permille(context);
         own.is_some_and(|own| f64::from(own) > most)
     }
 
     /// Tells whether an opener that is offered would wait here for no longer than its balancer expects elsewhere.
-    pub(super) fn is_wait_taken(&mut self, scene: &Scene<'_>, message: &Message) -> bool {
-        self.expected_wait_ms(scene) <= message.most_wait_ms
+    pub(super) fn is_wait_taken(&mut self, context: &AgentContext<'_>, message: &Message) -> bool {
+        self.expected_wait_ms(context) <= message.most_wait_ms
     }
 
     /// Gives an opener back to its balancer.
     pub(super) fn decline(
         &mut self,
-        scene: &Scene<'_>,
+        context: &AgentContext<'_>,
         key: &FlowKey,
         message: &Message,
         reason: Declined,
@@ -69,29 +74,29 @@
         self.metrics.openers_declined.inc();
         let wait_ms = match reason {
             Declined::AboveMean => ABOVE_MEAN_MS,
-            Declined::Busy => self.expected_wait_ms(scene),
+            Declined::Busy => self.expected_wait_ms(context),
             Declined::TakesNone => TAKES_NONE_MS,
         };
         log::info!(
             "event=opener_declined flow={key} reason={reason:?} wait_ms={wait_ms} busy={} slots={} load_permille={} mean_permille={} revision={}",
             self.flows.busy(),
-            self.own_slots(scene).unwrap_or_default(),
-            self.steady_permille(scene).unwrap_or(UNKNOWN_LOAD),
+            self.own_slots(context).unwrap_or_default(),
+            self.steady_permille(context).unwrap_or(UNKNOWN_LOAD),
             message.load_permille,
-            scene.revision
+            context.revision
         );
         // An offer is sent only where callers have deadlines, also if none is known here yet.
         let is_limited =
-            message.kind == MessageKind::Offer || scene.directory.has_deadline(key.called);
+            message.kind == MessageKind::Offer || context.directory.has_deadline(key.called);
         let wait_ms = is_limited.then_some(wait_ms);
         let kind = MessageKind::Declined;
-        self.tell_with_load(scene, kind, key, message.host, wait_ms, actions);
+        self.tell_with_load(context, kind, key, message.host, wait_ms, actions);
     }
 
     /// Tells the balancer from which an opener was taken that it is held here.
     pub(super) fn say_taken(
         &mut self,
-        scene: &Scene<'_>,
+        context: &AgentContext<'_>,
         key: &FlowKey,
         balancer: Ipv4Addr,
         actions: &mut Vec<Action>,
@@ -99,16 +104,16 @@
         if balancer.is_unspecified() {
             return;
         }
-        let deadline = scene.directory.deadline(key.called);
-        let wait_ms = deadline.map(|_| self.expected_wait_ms(scene));
-        self.tell_with_load(scene, MessageKind::Holds, key, balancer, wait_ms, actions);
+        let deadline = context.directory.deadline(key.called);
+        let wait_ms = deadline.map(|_| self.expected_wait_ms(context));
+        self.tell_with_load(context, MessageKind::Holds, key, balancer, wait_ms, actions);
     }
 
     /// Tells something of a flow, and behind it how much the backend server has to do, and for how long a new flow
     /// would wait.
     fn tell_with_load(
         &self,
-        scene: &Scene<'_>,
+        context: &AgentContext<'_>,
         kind: MessageKind,
         key: &FlowKey,
         to: Ipv4Addr,
@@ -118,7 +123,7 @@
         tell(kind, key, to, actions);
         if let Some(Action::ToPeer(_, message, payload)) = actions.last_mut() {
             message.host = self.identity.host;
-            let mut permille = self.steady_permille(scene);
+            let mut permille = self.steady_permille(context);
             if wait_ms.is_some() {
                 permille.get_or_insert(UNKNOWN_LOAD);
             }
@@ -129,8 +134,8 @@
 
     /// Returns the requests for each slot of the backend server over the last ten seconds, in thousandths, once
     /// that can be told.
-    fn steady_permille(&self, scene: &Scene<'_>) -> Option<u16> {
-        let slots = self.own_slots(scene)?;
+    fn steady_permille(&self, context: &AgentContext<'_>) -> Option<u16> {
+        let slots = self.own_slots(context)?;
         self.steady_load.permille_since_begun(slots)
     }
 }
--- a/src/opaque/keeper/delivery.rs
+++ b/src/opaque/flow_agent/delivery.rs
@@ -4,7 +4,7 @@
 
 use crate::config::deadlines::Deadline;
 use crate::opaque::finding::flow::{ABANDONED_MS, Flow, Holding, Origin, Running};
-use crate::opaque::keeper::{Keeper, Scene, say_holds, tell_balancer};
+use crate::opaque::flow_agent::{AgentContext, FlowAgent, say_holds, tell_balancer};
 use crate::opaque::packets::action::Action;
 use crate::opaque::packets::message::{Message, MessageKind};
 use crate::opaque::packets::segment::{FlowKey, Segment};
@@ -26,11 +26,11 @@
     Handed,
 }
 
-impl Keeper {
+impl FlowAgent {
     /// Takes any other packet of a caller.
     pub(super) fn packet(
         &mut self,
-        scene: &Scene<'_>,
+        context: &AgentContext<'_>,
         segment: &Segment,
         packet: &[u8],
         message: &Message,
@@ -38,16 +38,16 @@
     ) {
         let key = segment.flow_from_caller();
         let balancer = message.host;
-        if self.deliver_held(scene, segment, packet, actions) {
+        if self.deliver_held(context, segment, packet, actions) {
             if !message.has_opened {
-                self.say_opened(scene, &key, balancer, actions);
+                self.say_opened(context, &key, balancer, actions);
             }
             return;
         }
         let holding = self.flows.get(&key).map(|flow| flow.holding.clone());
         match holding {
-            Some(Holding::Elsewhere(host)) if scene.directory.is_current(host) => {
-                let now_ms = scene.now_ms;
+            Some(Holding::Elsewhere(host)) if context.directory.is_current(host) => {
+                let now_ms = context.now_ms;
                 self.flows
                     .update(&key, now_ms, |flow| flow.seen_ms = now_ms);
                 let message = Message::new(MessageKind::Deliver);
@@ -56,28 +56,28 @@
             }
             // What the backend server returns has ended, and nobody need be asked.
             _ if message.has_opened => {
-                self.try_backend(scene, segment, packet, Origin::OpenedHere, actions);
+                self.try_backend(context, segment, packet, Origin::OpenedHere, actions);
             }
-            None if !self.knows_all => {
-                self.try_backend(scene, segment, packet, Origin::Balancer, actions);
+            None if !self.knows_all_flows => {
+                self.try_backend(context, segment, packet, Origin::Balancer, actions);
             }
-            _ => self.look_up(scene, segment, packet, balancer, actions),
+            _ => self.look_up(context, segment, packet, balancer, actions),
         }
     }
 
     /// Hands a packet to the backend server if the flow is known to be held there, at once or once there is room.
     pub(super) fn deliver_held(
         &mut self,
-        scene: &Scene<'_>,
+        context: &AgentContext<'_>,
         segment: &Segment,
         packet: &[u8],
         actions: &mut Vec<Action>,
     ) -> bool {
-        let (key, now_ms) = (segment.flow_from_caller(), scene.now_ms);
+        let (key, now_ms) = (segment.flow_from_caller(), context.now_ms);
         let request_id = self.wire.request_id;
         // What brings no data begins no request.
-        let is_held_back = segment.payload_bytes > 0 && self.is_held_back(scene, &key);
-        let deadline = scene.directory.deadline(key.called);
+        let is_held_back = segment.payload_bytes > 0 && self.is_held_back(context, &key);
+        let deadline = context.directory.deadline(key.called);
         let counts_ms = counts_ms(deadline);
         let delivery = self.flows.update(&key, now_ms, |flow| {
             let was_open = flow.holding == Holding::Open;
@@ -105,11 +105,11 @@
         });
         match delivery.unwrap_or(Delivery::Elsewhere) {
             Delivery::Elsewhere => return false,
-            Delivery::Waits => self.hold_back(scene, segment, packet, actions),
+            Delivery::Waits => self.hold_back(context, segment, packet, actions),
             Delivery::Known if self.takes_waiting(segment, packet) => {}
             Delivery::Known | Delivery::Handed => {
                 let is_new = matches!(delivery, Some(Delivery::Handed));
-                self.note_handed_over(scene, segment, is_new);
+                self.note_handed_over(context, segment, is_new);
                 actions.push(Action::ToBackend(packet.to_vec()));
             }
         }
@@ -119,12 +119,12 @@
     /// Tells a balancer that a flow has opened here, once that is certain, and again if it goes on without knowing.
     fn say_opened(
         &mut self,
-        scene: &Scene<'_>,
+        context: &AgentContext<'_>,
         key: &FlowKey,
         balancer: Ipv4Addr,
         actions: &mut Vec<Action>,
     ) {
-        let now_ms = scene.now_ms;
+        let now_ms = context.now_ms;
         let is_due = self.flows.update(key, now_ms, |flow| {
             let was_told = flow.told_opened.is_some_and(|(told, told_ms)| {
                 told == balancer && now_ms < told_ms + TELL_OPENED_AGAIN_MS
@@ -146,7 +146,7 @@
     /// Hands a packet of an unknown flow to the backend server, which returns it if it must.
     pub(super) fn try_backend(
         &mut self,
-        scene: &Scene<'_>,
+        context: &AgentContext<'_>,
         segment: &Segment,
         packet: &[u8],
         origin: Origin,
@@ -154,12 +154,12 @@
     ) {
         let key = segment.flow_from_caller();
         let holding = Holding::Unconfirmed {
-            since_ms: scene.now_ms,
+            since_ms: context.now_ms,
             origin,
         };
-        let mut flow = Flow::new(holding, scene.now_ms);
+        let mut flow = Flow::new(holding, context.now_ms);
         flow.caller_acknowledgement = segment.acknowledgement;
-        if self.remember(key, flow, scene.now_ms) {
+        if self.remember(key, flow, context.now_ms) {
             self.pending.push(key);
         }
         actions.push(Action::ToBackend(packet.to_vec()));
--- a/src/opaque/keeper/handing_on.rs
+++ b/src/opaque/flow_agent/hand_on.rs
@@ -4,9 +4,9 @@
 
 use crate::code::Code;
 use crate::opaque::finding::flow::Opening;
-use crate::opaque::keeper::opener_limits::LAST_COPY;
-use crate::opaque::keeper::openers::NotTaken;
-use crate::opaque::keeper::{Keeper, Scene};
+use crate::opaque::flow_agent::opener_limits::LAST_COPY;
+use crate::opaque::flow_agent::openers::NotTaken;
+use crate::opaque::flow_agent::{AgentContext, FlowAgent};
 use crate::opaque::openers::opener_order::{next_host, next_warm_host};
 use crate::opaque::packets::action::Action;
 use crate::opaque::packets::message::{Message, MessageKind};
@@ -18,43 +18,43 @@
 /// and where there is none, each further hop costs the agents time that they don't have then.
 const CROWDED_HOPS: usize = 3;
 
-impl Keeper {
+impl FlowAgent {
     /// Passes an opener to the agent after this one in the flow's order, if there is one left.
     ///
     /// Otherwise its caller sends another copy, for which there may be room; only of the last copy is
     /// it told that nobody takes it, since it has but few attempts.
     pub(super) fn hand_on(
         &self,
-        scene: &Scene<'_>,
+        context: &AgentContext<'_>,
         key: &FlowKey,
         opening: Opening,
         actions: &mut Vec<Action>,
     ) {
-        let next = next_host(scene, self.identity.host, key, opening.hops, MAX_HOPS);
-        self.hand_on_to(scene, key, opening, next, actions);
+        let next = next_host(context, self.identity.host, key, opening.hops, MAX_HOPS);
+        self.hand_on_to(context, key, opening, next, actions);
     }
 
     /// Returns the agent that is offered an opener which is not taken here for a reason.
     pub(super) fn next_after(
         &self,
-        scene: &Scene<'_>,
+        context: &AgentContext<'_>,
         key: &FlowKey,
         hops: u8,
         reason: NotTaken,
     ) -> Option<Ipv4Addr> {
         let own = self.identity.host;
         match reason {
-            NotTaken::Crowded => next_host(scene, own, key, hops, CROWDED_HOPS),
+            NotTaken::Crowded => next_host(context, own, key, hops, CROWDED_HOPS),
             // A warm one takes it at once; where there is none, the others are as full as this one.
-            NotTaken::ColdRate => next_warm_host(scene, own, key, hops, MAX_HOPS)
-                .or_else(|| next_host(scene, own, key, hops, CROWDED_HOPS)),
-            _ => next_host(scene, own, key, hops, MAX_HOPS),
+            NotTaken::ColdRate => next_warm_host(context, own, key, hops, MAX_HOPS)
+                .or_else(|| next_host(context, own, key, hops, CROWDED_HOPS)),
+            _ => next_host(context, own, key, hops, MAX_HOPS),
         }
     }
 
     pub(super) fn hand_on_to(
         &self,
-        scene: &Scene<'_>,
+        context: &AgentContext<'_>,
         key: &FlowKey,
         opening: Opening,
         next: Option<Ipv4Addr>,
@@ -70,7 +70,7 @@
                 actions.push(Action::ToPeer(host, message, opening.packet));
             }
             None if opening.copy >= LAST_COPY => {
-                self.tell_attempt_failed(scene, key, opening.age_ms(), actions);
+                self.tell_attempt_failed(context, key, opening.age_ms(), actions);
                 self.reset(key, 0, Code::NoRoom, actions);
             }
             None => {
@@ -79,7 +79,7 @@
                     "event=opener_dropped flow={key} copy={} hops={} revision={}",
                     opening.copy,
                     opening.hops,
-                    scene.revision
+                    context.revision
                 );
             }
         }
--- a/src/opaque/keeper/held_requests.rs
+++ b/src/opaque/flow_agent/held_back_requests.rs
@@ -6,9 +6,9 @@
 //! caller waits. See docs/design/waiting-openers.md.
 
 use crate::opaque::finding::flow::{Holding, Running, is_after};
-use crate::opaque::keeper::delivery::counts_ms;
-use crate::opaque::keeper::waiting::{WaitingWork, WorkKind, waiting_of};
-use crate::opaque::keeper::{Keeper, Scene};
+use crate::opaque::flow_agent::delivery::counts_ms;
+use crate::opaque::flow_agent::waiting::{WaitingWork, WorkKind, waiting_of};
+use crate::opaque::flow_agent::{AgentContext, FlowAgent};
 use crate::opaque::packets::action::Action;
 use crate::opaque::packets::segment::{FlowKey, Segment};
 
@@ -17,32 +17,32 @@
 /// The wait from which a request is logged, in milliseconds: half of the shortest latency objective of today's users.
 const LOGGED_MS: u64 = 100;
 
-impl Keeper {
+impl FlowAgent {
     /// Tells whether a request that begins now on an open flow has to wait.
-    pub(super) fn is_held_back(&mut self, scene: &Scene<'_>, key: &FlowKey) -> bool {
+    pub(super) fn is_held_back(&mut self, context: &AgentContext<'_>, key: &FlowKey) -> bool {
         if self.is_waiting_at(key) {
             // Its packets stay in order.
             return true;
         }
-        let Some(deadline) = self.request_deadline(scene, key) else {
+        let Some(deadline) = self.request_deadline(context, key) else {
             return false;
         };
-        let Some(slots) = self.own_slots(scene) else {
+        let Some(slots) = self.own_slots(context) else {
             return false;
         };
-        if self.is_stuck(scene) {
+        if self.is_stuck(context) {
             return false;
         }
-        let most = self.handed_at_most(slots, deadline.objective_ms, scene.now_ms);
-        let is_full = f64::from(self.flows.busy_now(scene.now_ms)) >= most;
+        let most = self.handed_at_most(slots, deadline.objective_ms, context.now_ms);
+        let is_full = f64::from(self.flows.busy_now(context.now_ms)) >= most;
         // What is published is searched for each packet only where there is no room.
-        is_full && self.admits_any(scene).is_ok()
+        is_full && self.admits_any(context).is_ok()
     }
 
     /// Lets a packet wait that begins a request, or goes on with one that waits.
     pub(super) fn hold_back(
         &mut self,
-        scene: &Scene<'_>,
+        context: &AgentContext<'_>,
         segment: &Segment,
         packet: &[u8],
         actions: &mut Vec<Action>,
@@ -51,19 +51,19 @@
         if let Some(packets) = self.waiting_packets(&key) {
             packets.push(packet.to_vec());
             if packets.len() >= MAX_PACKETS {
-                self.release(scene, &key, actions);
+                self.release(context, &key, actions);
             }
             return;
         }
         let packets = vec![packet.to_vec()];
-        let deadline = self.request_deadline(scene, &key);
+        let deadline = self.request_deadline(context, &key);
         let Some(deadline) = deadline.filter(|_| self.waiting.has_room()) else {
-            self.hand_request(scene, &key, packets, 0, actions);
+            self.hand_request(context, &key, packets, 0, actions);
             return;
         };
         self.metrics.requests_held_back.inc();
-        if scene.directory.has_deadline(key.called) {
-            self.stall.came_in(scene.now_ms);
+        if context.directory.has_deadline(key.called) {
+            self.stall.came_in(context.now_ms);
         }
         let work = WaitingWork {
             key,
@@ -71,8 +71,8 @@
         };
         let longest_ms = u64::from(deadline.timeout_ms);
         self.waiting
-            .push(waiting_of(scene, work, 0, longest_ms, &deadline));
-        self.serve_waiting(scene, actions);
+            .push(waiting_of(context, work, 0, longest_ms, &deadline));
+        self.serve_waiting(context, actions);
     }
 
     /// Takes a packet without new data on a flow whose request waits; says whether it goes no further now.
@@ -108,7 +108,7 @@
     /// Hands a request over that has waited.
     pub(super) fn hand_request(
         &mut self,
-        scene: &Scene<'_>,
+        context: &AgentContext<'_>,
         key: &FlowKey,
         packets: Vec<Vec<u8>>,
         waited_ms: u64,
@@ -125,28 +125,28 @@
                 self.flows.busy()
             );
         }
-        let counts_ms = counts_ms(scene.directory.deadline(key.called));
+        let counts_ms = counts_ms(context.directory.deadline(key.called));
         let decode = self.wire.decode;
         let segments = packets.iter().filter_map(|packet| decode(packet).ok());
         let segments: Vec<Segment> = segments.collect();
         let caller_left = segments.iter().any(Segment::is_bare_end);
-        self.flows.update(key, scene.now_ms, |flow| {
+        self.flows.update(key, context.now_ms, |flow| {
             flow.caller_left |= caller_left;
             if flow.holding == Holding::Open && flow.running.is_none() {
-                flow.running = Some(Running::new(id.as_deref(), counts_ms, scene.now_ms));
+                flow.running = Some(Running::new(id.as_deref(), counts_ms, context.now_ms));
             }
         });
         for segment in &segments {
-            self.note_handed_over(scene, segment, segment.payload_bytes > 0);
+            self.note_handed_over(context, segment, segment.payload_bytes > 0);
         }
         actions.extend(packets.into_iter().map(Action::ToBackend));
     }
 
-    fn release(&mut self, scene: &Scene<'_>, key: &FlowKey, actions: &mut Vec<Action>) {
+    fn release(&mut self, context: &AgentContext<'_>, key: &FlowKey, actions: &mut Vec<Action>) {
         for waiting in self.waiting.take_if(|waiting| waiting.item.key == *key) {
             if let WorkKind::Request(packets) = waiting.item.kind {
-                let waited_ms = scene.now_ms - waiting.since_ms;
-                self.hand_request(scene, key, packets, waited_ms, actions);
+                let waited_ms = context.now_ms - waiting.since_ms;
+                self.hand_request(context, key, packets, waited_ms, actions);
             }
         }
     }
--- a/src/opaque/keeper/questions.rs
+++ b/src/opaque/flow_agent/lookups.rs
@@ -5,17 +5,17 @@
 use crate::code::Code;
 use crate::opaque::finding::flow::{Flow, Holding, Origin};
 use crate::opaque::finding::lookup::{FIRST_ASKED, Question, Verdict};
-use crate::opaque::keeper::{Keeper, Scene, say_holds, tell};
+use crate::opaque::flow_agent::{AgentContext, FlowAgent, say_holds, tell};
 use crate::opaque::openers::opener_order::likely_hosts;
 use crate::opaque::packets::action::Action;
 use crate::opaque::packets::message::{Message, MessageKind};
 use crate::opaque::packets::segment::{FlowKey, Segment};
 
-impl Keeper {
+impl FlowAgent {
     /// Asks all other agents who holds a flow.
     pub(super) fn look_up(
         &mut self,
-        scene: &Scene<'_>,
+        context: &AgentContext<'_>,
         segment: &Segment,
         packet: &[u8],
         balancer: Ipv4Addr,
@@ -25,7 +25,7 @@
             return;
         }
         let own = self.identity.host;
-        let likely = || likely_hosts(scene, own, &segment.flow_from_caller(), FIRST_ASKED);
+        let likely = || likely_hosts(context, own, &segment.flow_from_caller(), FIRST_ASKED);
         let question = Question {
             segment,
             packet,
@@ -33,30 +33,30 @@
         };
         let asked = self
             .lookups
-            .start(scene.directory, own, likely, &question, scene.now_ms);
+            .start(context.directory, own, likely, &question, context.now_ms);
         for host in asked {
             let message = Message::new(MessageKind::Find);
             actions.push(Action::ToPeer(host, message, packet.to_vec()));
         }
-        self.conclude(scene, &segment.flow_from_caller(), actions);
+        self.conclude(context, &segment.flow_from_caller(), actions);
     }
 
     /// Answers whether a flow is held here, and delivers its packet if so.
     pub(super) fn find(
         &mut self,
-        scene: &Scene<'_>,
+        context: &AgentContext<'_>,
         segment: &Segment,
         packet: &[u8],
         asker: Ipv4Addr,
         actions: &mut Vec<Action>,
     ) {
         let key = segment.flow_from_caller();
-        if self.deliver_held(scene, segment, packet, actions) {
+        if self.deliver_held(context, segment, packet, actions) {
             tell(MessageKind::Found, &key, asker, actions);
             return;
         }
-        if self.flows.get(&key).is_none() && !self.knows_all && self.backend_up {
-            self.try_backend(scene, segment, packet, Origin::Asker(asker), actions);
+        if self.flows.get(&key).is_none() && !self.knows_all_flows && self.is_backend_up {
+            self.try_backend(context, segment, packet, Origin::Asker(asker), actions);
         } else {
             tell(MessageKind::Absent, &key, asker, actions);
         }
@@ -65,7 +65,7 @@
     /// Takes the answer of the agent that holds a flow.
     pub(super) fn found(
         &mut self,
-        scene: &Scene<'_>,
+        context: &AgentContext<'_>,
         from: Ipv4Addr,
         payload: &[u8],
         actions: &mut Vec<Action>,
@@ -78,35 +78,42 @@
         };
         log::info!("event=flow_found flow={key} host={from}");
         say_holds(&key, lookup.balancer, from, actions);
-        let flow = Flow::new(Holding::Elsewhere(from), scene.now_ms);
-        self.remember(key, flow, scene.now_ms);
+        let flow = Flow::new(Holding::Elsewhere(from), context.now_ms);
+        self.remember(key, flow, context.now_ms);
     }
 
     /// Ends a flow of which it is proved that nobody holds it.
-    pub(super) fn conclude(&mut self, scene: &Scene<'_>, key: &FlowKey, actions: &mut Vec<Action>) {
-        if !scene.settled {
+    pub(super) fn conclude(
+        &mut self,
+        context: &AgentContext<'_>,
+        key: &FlowKey,
+        actions: &mut Vec<Action>,
+    ) {
+        if !context.is_settled {
             return;
         }
-        let verdict = self.lookups.verdict(key, scene.directory, scene.revision);
+        let verdict = self
+            .lookups
+            .verdict(key, context.directory, context.revision);
         if let Verdict::Nowhere { acknowledgement } = verdict {
-            let waited_ms = self.lookups.open_for_ms(key, scene.now_ms);
-            self.end_gone(scene, key, acknowledgement, waited_ms, actions);
+            let waited_ms = self.lookups.open_for_ms(key, context.now_ms);
+            self.end_gone(context, key, acknowledgement, waited_ms, actions);
         }
     }
 
     /// Ends a flow that nobody holds, whose caller has waited for so long since that was first asked.
     pub(super) fn end_gone(
         &mut self,
-        scene: &Scene<'_>,
+        context: &AgentContext<'_>,
         key: &FlowKey,
         acknowledgement: u32,
         waited_ms: u64,
         actions: &mut Vec<Action>,
     ) {
         self.lookups.forget(key);
-        let route = scene.directory.routes().get(key.called);
+        let route = context.directory.routes().get(key.called);
         if route.is_some_and(|route| route.repeatable) {
-            self.tell_attempt_failed(scene, key, waited_ms, actions);
+            self.tell_attempt_failed(context, key, waited_ms, actions);
         }
         self.reset(key, acknowledgement, Code::FlowGone, actions);
     }
--- a/src/opaque/keeper/opener_checks.rs
+++ b/src/opaque/flow_agent/opener_checks.rs
@@ -1,10 +1,10 @@
 //! Whether the backend server may be handed a new flow now.
 
 use crate::opaque::finding::flow::Opening;
-use crate::opaque::keeper::handing_on::MAX_HOPS;
-use crate::opaque::keeper::opener_limits::OwnPlace;
-use crate::opaque::keeper::openers::NotTaken;
-use crate::opaque::keeper::{Keeper, Scene};
+use crate::opaque::flow_agent::hand_on::MAX_HOPS;
+use crate::opaque::flow_agent::opener_limits::OwnPlace;
+use crate::opaque::flow_agent::openers::NotTaken;
+use crate::opaque::flow_agent::{AgentContext, FlowAgent};
 use crate::opaque::openers::opener_order::next_host;
 use crate::opaque::packets::segment::FlowKey;
 
@@ -14,48 +14,49 @@
 /// do no better then.
 const FAILING_HOPS: u8 = 2;
 
-impl Keeper {
+impl FlowAgent {
     pub(super) fn check_opener(
         &mut self,
-        scene: &Scene<'_>,
+        context: &AgentContext<'_>,
         key: &FlowKey,
         opening: &Opening,
         place: &OwnPlace,
     ) -> Result<(), NotTaken> {
         self.is_running()?;
-        if scene.directory.service_of(key) != Some(self.identity.service) {
+        if context.directory.service_of(key) != Some(self.identity.service) {
             return Err(NotTaken::OtherService);
         }
-        self.is_published(scene)?;
-        if !self.has_cold_rate(scene) {
+        self.is_published(context)?;
+        if !self.has_cold_rate(context) {
             return Err(NotTaken::ColdRate);
         }
         if self.silent_since_ms.is_some() {
-            return self.probe(scene, NotTaken::Silent);
+            return self.probe(context, NotTaken::Silent);
         }
-        if self.is_stalled(scene.now_ms) && self.others_may_do_better(scene, key, opening) {
-            if !self.may_probe_stalled(scene, key) {
+        if self.is_stalled(context.now_ms) && self.others_may_do_better(context, key, opening) {
+            if !self.may_probe_stalled(context, key) {
                 return Err(NotTaken::Stalled);
             }
-            return self.probe(scene, NotTaken::Stalled);
+            return self.probe(context, NotTaken::Stalled);
         }
-        if self.outcomes.is_failing(scene.now_ms) && self.others_may_do_better(scene, key, opening)
+        if self.outcomes.is_failing(context.now_ms)
+            && self.others_may_do_better(context, key, opening)
         {
-            let routes = scene.directory.routes();
+            let routes = context.directory.routes();
             if !routes.may_probe(key.called, self.identity.service) {
                 return Err(NotTaken::Failing);
             }
-            return self.probe(scene, NotTaken::Failing);
+            return self.probe(context, NotTaken::Failing);
         }
         let busy = match place.deadline {
-            Some(_) => self.flows.busy_now(scene.now_ms),
+            Some(_) => self.flows.busy_now(context.now_ms),
             None => self.flows.busy(),
         };
         if place.limit.is_some_and(|limit| f64::from(busy) >= limit) {
             return Err(NotTaken::Crowded);
         }
-        if self.is_refilled(place.limit, scene.now_ms)
-            && self.others_may_do_better(scene, key, opening)
+        if self.is_refilled(place.limit, context.now_ms)
+            && self.others_may_do_better(context, key, opening)
         {
             return Err(NotTaken::Recovering);
         }
@@ -63,23 +64,23 @@
     }
 
     /// Tells why no opener at all may be handed over now, whatever room there is.
-    pub(super) fn admits_any(&self, scene: &Scene<'_>) -> Result<(), NotTaken> {
+    pub(super) fn admits_any(&self, context: &AgentContext<'_>) -> Result<(), NotTaken> {
         self.is_running()?;
-        self.is_published(scene)
+        self.is_published(context)
     }
 
     fn is_running(&self) -> Result<(), NotTaken> {
         if self.leaving {
             return Err(NotTaken::Leaving);
         }
-        if !self.backend_up {
+        if !self.is_backend_up {
             return Err(NotTaken::BackendDown);
         }
         Ok(())
     }
 
-    fn is_published(&self, scene: &Scene<'_>) -> Result<(), NotTaken> {
-        let published = scene.directory.own(self.identity.backend);
+    fn is_published(&self, context: &AgentContext<'_>) -> Result<(), NotTaken> {
+        let published = context.directory.own(self.identity.backend);
         let published = published.filter(|own| own.service == self.identity.service);
         if !published.is_some_and(|own| own.takes_flows) {
             return Err(NotTaken::NotPublished);
@@ -91,24 +92,29 @@
     }
 
     /// Tells whether the backend server is warm, or may be handed one more flow while it is cold.
-    pub(super) fn has_cold_rate(&mut self, scene: &Scene<'_>) -> bool {
-        let flows_per_s = self.cold_flows_per_s(scene);
-        flows_per_s.is_none_or(|flows_per_s| self.cold_rate.has_room(flows_per_s, scene.now_ms))
+    pub(super) fn has_cold_rate(&mut self, context: &AgentContext<'_>) -> bool {
+        let flows_per_s = self.cold_flows_per_s(context);
+        flows_per_s.is_none_or(|flows_per_s| self.cold_rate.has_room(flows_per_s, context.now_ms))
     }
 
     /// Tells whether an opener should rather go to an agent that has not been offered it.
-    fn others_may_do_better(&self, scene: &Scene<'_>, key: &FlowKey, opening: &Opening) -> bool {
+    fn others_may_do_better(
+        &self,
+        context: &AgentContext<'_>,
+        key: &FlowKey,
+        opening: &Opening,
+    ) -> bool {
         let hops = opening.hops;
-        let next = next_host(scene, self.identity.host, key, hops, MAX_HOPS);
+        let next = next_host(context, self.identity.host, key, hops, MAX_HOPS);
         hops < FAILING_HOPS && next.is_some()
     }
 
     /// Lets an opener through now and then, to see whether the backend server works again.
-    fn probe(&mut self, scene: &Scene<'_>, otherwise: NotTaken) -> Result<(), NotTaken> {
-        if scene.now_ms < self.last_probe_ms + PROBE_MS {
+    fn probe(&mut self, context: &AgentContext<'_>, otherwise: NotTaken) -> Result<(), NotTaken> {
+        if context.now_ms < self.last_probe_ms + PROBE_MS {
             return Err(otherwise);
         }
-        self.last_probe_ms = scene.now_ms;
+        self.last_probe_ms = context.now_ms;
         Ok(())
     }
 }
--- a/src/opaque/keeper/opener_limits.rs
+++ b/src/opaque/flow_agent/opener_limits.rs
@@ -2,7 +2,7 @@
 
 use crate::config::deadlines::{Deadline, UNANSWERED_ATTEMPT_MS};
 use crate::opaque::finding::flow::Opening;
-use crate::opaque::keeper::{Keeper, Scene};
+use crate::opaque::flow_agent::{AgentContext, FlowAgent};
 use crate::opaque::packets::message::MessageKind;
 use crate::opaque::packets::segment::FlowKey;
 
@@ -63,18 +63,18 @@
     }
 }
 
-impl Keeper {
+impl FlowAgent {
     /// Looks the own backend server up, and how much it may have for an opener of this age.
     pub(super) fn own_place(
         &self,
-        scene: &Scene<'_>,
+        context: &AgentContext<'_>,
         key: &FlowKey,
         opening: &Opening,
         kind: MessageKind,
     ) -> OwnPlace {
-        let is_cold = self.is_cold(scene);
+        let is_cold = self.is_cold(context);
         let service = self.identity.service;
-        let routes = scene.directory.routes();
+        let routes = context.directory.routes();
         let route = routes.get(key.called);
         let is_urgent = route.is_some_and(|route| routes.is_urgent(route, service));
         let per_slot = match (is_cold, is_urgent) {
@@ -84,37 +84,39 @@
             (true, true) => COLD_URGENT_PER_SLOT,
         };
         let per_slot = per_slot[opening.age_step()];
-        let deadline = scene.directory.deadline(key.called);
+        let deadline = context.directory.deadline(key.called);
         let priority = route.map_or(0, |route| route.priority);
         let must_let_pass = self.must_let_pass(priority);
         let limit = |slots: u32| match (deadline, kind) {
             (Some(_), MessageKind::Offer) => f64::from(slots),
-            (Some(deadline), _) => self.handed_at_most(slots, deadline.objective_ms, scene.now_ms),
+            (Some(deadline), _) => {
+                self.handed_at_most(slots, deadline.objective_ms, context.now_ms)
+            }
             (None, _) if must_let_pass => {
-                let most = self.handed_at_most(slots, UNANSWERED_ATTEMPT_MS, scene.now_ms);
+                let most = self.handed_at_most(slots, UNANSWERED_ATTEMPT_MS, context.now_ms);
                 most.min(f64::from(slots) * per_slot)
             }
             (None, _) => f64::from(slots) * per_slot,
         };
         OwnPlace {
             is_cold,
-            limit: self.own_slots(scene).map(limit),
+            limit: self.own_slots(context).map(limit),
             deadline,
         }
     }
 
     /// Returns how many new flows the backend server bears a second, if it is cold or may be.
-    pub(super) fn cold_flows_per_s(&self, scene: &Scene<'_>) -> Option<f64> {
-        let start = scene.directory.cold_start(self.identity.service)?;
+    pub(super) fn cold_flows_per_s(&self, context: &AgentContext<'_>) -> Option<f64> {
+        let start = context.directory.cold_start(self.identity.service)?;
         let maybe_since_ms = self.maybe_cold_since_ms;
         let may_be_cold =
-            maybe_since_ms.is_some_and(|since_ms| scene.now_ms < since_ms + start.cold_ms);
-        (may_be_cold || self.is_cold(scene)).then_some(start.flows_per_s)
+            maybe_since_ms.is_some_and(|since_ms| context.now_ms < since_ms + start.cold_ms);
+        (may_be_cold || self.is_cold(context)).then_some(start.flows_per_s)
     }
 
     /// Tells whether the backend server is published as slow after its start.
-    fn is_cold(&self, scene: &Scene<'_>) -> bool {
-        let published = scene.directory.own(self.identity.backend);
-        published.is_some_and(|own| scene.now_ms < own.cold_until_ms)
+    fn is_cold(&self, context: &AgentContext<'_>) -> bool {
+        let published = context.directory.own(self.identity.backend);
+        published.is_some_and(|own| context.now_ms < own.cold_until_ms)
     }
 }
--- a/src/opaque/keeper/openers.rs
+++ b/src/opaque/flow_agent/openers.rs
@@ -2,9 +2,9 @@
 
 use crate::config::deadlines::Deadline;
 use crate::opaque::finding::flow::{EXPECTED_MS, EXPECTED_SOON_MS, Flow, Holding, Opening};
-use crate::opaque::keeper::declines::Declined;
-use crate::opaque::keeper::opener_limits::OwnPlace;
-use crate::opaque::keeper::{Keeper, Scene, say_holds, tell};
+use crate::opaque::flow_agent::declines::Declined;
+use crate::opaque::flow_agent::opener_limits::OwnPlace;
+use crate::opaque::flow_agent::{AgentContext, FlowAgent, say_holds, tell};
 use crate::opaque::packets::action::Action;
 use crate::opaque::packets::message::{Message, MessageKind};
 use crate::opaque::packets::segment::{FlowKey, Segment};
@@ -30,11 +30,11 @@
     Behind,
 }
 
-impl Keeper {
+impl FlowAgent {
     /// Takes an opener, or passes it on.
     pub(super) fn opener(
         &mut self,
-        scene: &Scene<'_>,
+        context: &AgentContext<'_>,
         segment: &Segment,
         packet: &[u8],
         message: &Message,
@@ -44,57 +44,57 @@
         if self.is_known_here(&key, packet, message, actions) {
             return;
         }
-        let deadline = scene.directory.deadline(key.called);
+        let deadline = context.directory.deadline(key.called);
         let is_offer = message.kind == MessageKind::Offer;
-        let opening = opening_of(scene, segment, packet, message);
-        let place = self.own_place(scene, &key, &opening, message.kind);
-        let checked = self.check_opener(scene, &key, &opening, &place);
-        let behind = message.digest.highest > scene.revision;
+        let opening = opening_of(context, segment, packet, message);
+        let place = self.own_place(context, &key, &opening, message.kind);
+        let checked = self.check_opener(context, &key, &opening, &place);
+        let behind = message.digest.highest > context.revision;
         match checked {
             // Handed on by the older configuration it would run at a service that the newer one has
             // taken off the route. Its caller sends a copy, and the newer one is on its way.
             Err(NotTaken::OtherService) if behind && !is_offer => {
-                self.log_not_taken(scene, &key, &opening, &place, NotTaken::Behind);
+                self.log_not_taken(context, &key, &opening, &place, NotTaken::Behind);
                 self.metrics.openers_dropped.inc();
             }
-            Ok(()) if self.declines(scene, &opening, message) => {
-                self.decline(scene, &key, message, Declined::AboveMean, actions);
+            Ok(()) if self.declines(context, &opening, message) => {
+                self.decline(context, &key, message, Declined::AboveMean, actions);
             }
             Ok(()) => {
                 let balancer = opening.balancer;
-                if self.take_opener(scene, &key, opening, actions) {
-                    self.say_taken(scene, &key, balancer, actions);
+                if self.take_opener(context, &key, opening, actions) {
+                    self.say_taken(context, &key, balancer, actions);
                 }
             }
             Err(NotTaken::Crowded)
                 if let Some(deadline) = deadline
-                    && (!is_offer || self.is_wait_taken(scene, message)) =>
+                    && (!is_offer || self.is_wait_taken(context, message)) =>
             {
-                self.wait_or_give_back(scene, &key, opening, &deadline, message, actions);
+                self.wait_or_give_back(context, &key, opening, &deadline, message, actions);
             }
             Err(reason) if is_offer => {
                 let declined = match reason {
                     NotTaken::Crowded => Declined::Busy,
                     _ => Declined::TakesNone,
                 };
-                self.decline(scene, &key, message, declined, actions);
+                self.decline(context, &key, message, declined, actions);
             }
             // The others were asked or are as cold, and here it has its turn at the rate.
             Err(NotTaken::ColdRate)
                 if let Some(deadline) = deadline
                     && self
-                        .next_after(scene, &key, opening.hops, NotTaken::ColdRate)
+                        .next_after(context, &key, opening.hops, NotTaken::ColdRate)
                         .is_none() =>
             {
-                self.wait_or_give_back(scene, &key, opening, &deadline, message, actions);
+                self.wait_or_give_back(context, &key, opening, &deadline, message, actions);
             }
             Err(reason) => {
-                self.log_not_taken(scene, &key, &opening, &place, reason);
+                self.log_not_taken(context, &key, &opening, &place, reason);
                 if message.kind == MessageKind::Deliver && !message.host.is_unspecified() {
                     tell(MessageKind::Absent, &key, message.host, actions);
                 }
-                let next = self.next_after(scene, &key, opening.hops, reason);
-                self.hand_on_to(scene, &key, opening, next, actions);
+                let next = self.next_after(context, &key, opening.hops, reason);
+                self.hand_on_to(context, &key, opening, next, actions);
             }
         }
     }
@@ -122,25 +122,25 @@
     /// Lets an opener wait here, or tells its balancer or its caller that it can't.
     fn wait_or_give_back(
         &mut self,
-        scene: &Scene<'_>,
+        context: &AgentContext<'_>,
         key: &FlowKey,
         opening: Opening,
         deadline: &Deadline,
         message: &Message,
         actions: &mut Vec<Action>,
     ) {
-        match self.let_wait(scene, key, opening, deadline, actions) {
+        match self.let_wait(context, key, opening, deadline, actions) {
             Ok(()) => {}
             Err(_) if message.kind == MessageKind::Offer => {
-                self.decline(scene, key, message, Declined::Busy, actions);
+                self.decline(context, key, message, Declined::Busy, actions);
             }
-            Err(opening) => self.refuse(scene, key, &opening, "no_time", actions),
+            Err(opening) => self.refuse(context, key, &opening, "no_time", actions),
         }
     }
 
     fn log_not_taken(
         &self,
-        scene: &Scene<'_>,
+        context: &AgentContext<'_>,
         key: &FlowKey,
         opening: &Opening,
         place: &OwnPlace,
@@ -154,14 +154,14 @@
             self.flows.busy(),
             place.limit.unwrap_or_default(),
             place.is_cold,
-            scene.revision
+            context.revision
         );
     }
 
     /// Hands an opener to the backend server; says whether there was room to note its flow.
     pub(super) fn take_opener(
         &mut self,
-        scene: &Scene<'_>,
+        context: &AgentContext<'_>,
         key: &FlowKey,
         opening: Opening,
         actions: &mut Vec<Action>,
@@ -175,10 +175,10 @@
             opening.hops,
             self.flows.busy(),
             self.flows.open(),
-            scene.revision
+            context.revision
         );
-        let flow = Flow::new(Holding::Opening(opening), scene.now_ms);
-        if !self.remember(*key, flow, scene.now_ms) {
+        let flow = Flow::new(Holding::Opening(opening), context.now_ms);
+        if !self.remember(*key, flow, context.now_ms) {
             return false;
         }
         self.metrics.openers_taken.inc();
@@ -190,10 +190,15 @@
 }
 
 /// Returns an opener as it came with a message.
-fn opening_of(scene: &Scene<'_>, segment: &Segment, packet: &[u8], message: &Message) -> Opening {
-    let deadline = scene.directory.deadline(segment.destination);
+fn opening_of(
+    context: &AgentContext<'_>,
+    segment: &Segment,
+    packet: &[u8],
+    message: &Message,
+) -> Opening {
+    let deadline = context.directory.deadline(segment.destination);
     Opening {
-        since_ms: scene.now_ms,
+        since_ms: context.now_ms,
         packet: packet.to_vec(),
         balancer: message.host,
         hops: message.hops,
--- a/src/opaque/keeper/stall.rs
+++ b/src/opaque/flow_agent/stall.rs
@@ -5,8 +5,8 @@
 //! come. See docs/design/stalled-servers.md.
 
 use crate::code::Code;
-use crate::opaque::keeper::waiting::has_flow;
-use crate::opaque::keeper::{Keeper, Scene};
+use crate::opaque::flow_agent::waiting::has_flow;
+use crate::opaque::flow_agent::{AgentContext, FlowAgent};
 use crate::opaque::openers::mean_load::{MeanLoad, RECENT_SPAN_MS, STEADY_SPAN_MS};
 use crate::opaque::openers::recent_outcomes::RecentOutcomes;
 use crate::opaque::packets::action::Action;
@@ -24,7 +24,7 @@
     segment.payload_bytes >= FULL_PACKET_BYTES
 }
 
-impl Keeper {
+impl FlowAgent {
     /// Tells whether the backend server takes requests and serves none.
     ///
     /// Never where callers have time for further attempts, which find another backend server then.
@@ -34,31 +34,31 @@
 
     /// Looks whether the backend server stands still, and ends what loses nothing by it; due each
     /// [`crate::decisions::stall::LOOK_MS`].
-    pub fn look_for_stall(&mut self, scene: &Scene<'_>) -> Vec<Action> {
+    pub fn check_for_stall(&mut self, context: &AgentContext<'_>) -> Vec<Action> {
         // A backend server that no table has gets no opener, and its flows end soon.
-        let Some(slots) = self.own_slots(scene) else {
+        let Some(slots) = self.own_slots(context) else {
             return Vec::new();
         };
-        if let Some(stall) = self.stall.look(slots, scene.now_ms) {
+        if let Some(stall) = self.stall.look(slots, context.now_ms) {
             self.metrics.backend_stalls.inc();
             log::warn!(
                 "event=backend_stalled silent_ms={} waiting={} slots={slots} open={} revision={}",
                 stall.silent_ms,
                 stall.waiting,
                 self.flows.open(),
-                scene.revision
+                context.revision
             );
         }
         let mut actions = Vec::new();
-        if self.is_stalled(scene.now_ms) {
-            self.reset_idle(scene, &mut actions);
+        if self.is_stalled(context.now_ms) {
+            self.reset_idle(context, &mut actions);
         }
         actions
     }
 
     /// Ends some flows that carry no request, of callers who have time for one attempt only.
-    fn reset_idle(&mut self, scene: &Scene<'_>, actions: &mut Vec<Action>) {
-        let has_deadline = |key: &FlowKey| scene.directory.has_deadline(key.called);
+    fn reset_idle(&mut self, context: &AgentContext<'_>, actions: &mut Vec<Action>) {
+        let has_deadline = |key: &FlowKey| context.directory.has_deadline(key.called);
         let waiting = &self.waiting;
         let may_end = |key: &FlowKey| has_deadline(key) && !has_flow(waiting, key);
         let ended = self.flows.end_idle(RESETS_A_LOOK, may_end);
@@ -84,15 +84,15 @@
     /// Notes that a packet which the backend server was handed brought data of a request, or ended its flow.
     pub(super) fn note_handed_over(
         &mut self,
-        scene: &Scene<'_>,
+        context: &AgentContext<'_>,
         segment: &Segment,
         is_new_data: bool,
     ) {
         let key = segment.flow_from_caller();
         if is_new_data {
-            let has_deadline = scene.directory.has_deadline(key.called);
+            let has_deadline = context.directory.has_deadline(key.called);
             let is_whole = has_deadline && !may_go_on(segment);
-            self.stall.handed_over(key, is_whole, scene.now_ms);
+            self.stall.handed_over(key, is_whole, context.now_ms);
         }
         if segment.ends || segment.resets {
             self.stall.withdrawn(key);
@@ -122,9 +122,9 @@
     /// Lets an opener through to a backend server that stands still, to see whether it works again.
     ///
     /// A request that may not run twice would be lost with it.
-    pub(super) fn may_probe_stalled(&self, scene: &Scene<'_>, key: &FlowKey) -> bool {
-        let routes = scene.directory.routes();
-        routes.may_probe(key.called, self.identity.service) && self.stall.may_probe(scene.now_ms)
+    pub(super) fn may_probe_stalled(&self, context: &AgentContext<'_>, key: &FlowKey) -> bool {
+        let routes = context.directory.routes();
+        routes.may_probe(key.called, self.identity.service) && self.stall.may_probe(context.now_ms)
     }
 
     /// Tells whether a backend server that has just come back has as much to do as it should have by now.
--- a/src/opaque/keeper/waiting.rs
+++ b/src/opaque/flow_agent/waiting.rs
@@ -9,7 +9,7 @@
 use crate::decisions::wait_queue::{Pace, WaitQueue, Waiting};
 use crate::decisions::waiting::Prospect;
 use crate::opaque::finding::flow::Opening;
-use crate::opaque::keeper::{Keeper, Scene, tell};
+use crate::opaque::flow_agent::{AgentContext, FlowAgent, tell};
 use crate::opaque::packets::action::Action;
 use crate::opaque::packets::message::MessageKind;
 use crate::opaque::packets::segment::FlowKey;
@@ -43,39 +43,39 @@
     Request(Vec<Vec<u8>>),
 }
 
-impl Keeper {
+impl FlowAgent {
     /// Returns the slots of the own backend server.
-    pub(super) fn own_slots(&self, scene: &Scene<'_>) -> Option<u32> {
-        let table = scene.directory.table(self.identity.service)?;
+    pub(super) fn own_slots(&self, context: &AgentContext<'_>) -> Option<u32> {
+        let table = context.directory.table(self.identity.service)?;
         Some(table.row_on(self.identity.host)?.slots)
     }
 
     /// Notes how many slots are occupied from now on.
-    pub(super) fn note_slots(&mut self, scene: &Scene<'_>) {
-        let slots = self.own_slots(scene).unwrap_or_default();
+    pub(super) fn note_slots(&mut self, context: &AgentContext<'_>) {
+        let slots = self.own_slots(context).unwrap_or_default();
         self.slot_time
-            .changed(self.flows.busy(), slots, scene.now_ms);
+            .changed(self.flows.busy(), slots, context.now_ms);
     }
 
     /// Tells whether the backend server has reason to refuse a request for want of room.
-    pub(super) fn is_full(&self, scene: &Scene<'_>, key: &FlowKey) -> bool {
-        let is_limited = scene.directory.has_deadline(key.called);
-        let slots = self.own_slots(scene);
+    pub(super) fn is_full(&self, context: &AgentContext<'_>, key: &FlowKey) -> bool {
+        let is_limited = context.directory.has_deadline(key.called);
+        let slots = self.own_slots(context);
         is_limited && slots.is_some_and(|slots| self.flows.busy() >= slots)
     }
 
     /// Returns for how long a new flow would wait for a slot, in milliseconds.
-    pub(super) fn expected_wait_ms(&mut self, scene: &Scene<'_>) -> u16 {
-        let Some(slots) = self.own_slots(scene) else {
+    pub(super) fn expected_wait_ms(&mut self, context: &AgentContext<'_>) -> u16 {
+        let Some(slots) = self.own_slots(context) else {
             return 0;
         };
-        let before = self.waiting.in_time(&self.pace(slots), scene.now_ms);
-        self.wait_behind_ms(scene, slots, before).min(MAX_TOLD_MS) as u16
+        let before = self.waiting.in_time(&self.pace(slots), context.now_ms);
+        self.wait_behind_ms(context, slots, before).min(MAX_TOLD_MS) as u16
     }
 
     /// Returns for how long something waits for a slot that `before` others of those that wait go before.
-    fn wait_behind_ms(&mut self, scene: &Scene<'_>, slots: u32, before: u32) -> u64 {
-        let there = self.flows.busy_now(scene.now_ms) + before;
+    fn wait_behind_ms(&mut self, context: &AgentContext<'_>, slots: u32, before: u32) -> u64 {
+        let there = self.flows.busy_now(context.now_ms) + before;
         let ahead = (there + 1).saturating_sub(slots);
         wait_ms(ahead, self.slot_time.service_ms(), slots)
     }
@@ -108,8 +108,12 @@
     /// Returns the deadline by which a request may wait, or none where it goes at once.
     ///
     /// Without a deadline of its route it waits only while others do, for as long as an attempt without an answer lasts.
-    pub(super) fn request_deadline(&self, scene: &Scene<'_>, key: &FlowKey) -> Option<Deadline> {
-        let told = scene.directory.deadline(key.called);
+    pub(super) fn request_deadline(
+        &self,
+        context: &AgentContext<'_>,
+        key: &FlowKey,
+    ) -> Option<Deadline> {
+        let told = context.directory.deadline(key.called);
         let untold = Deadline {
             address: key.called,
             objective_ms: UNANSWERED_ATTEMPT_MS,
@@ -126,16 +130,16 @@
     /// Lets an opener wait for a slot, or gives it back where it would wait for nothing.
     pub(super) fn let_wait(
         &mut self,
-        scene: &Scene<'_>,
+        context: &AgentContext<'_>,
         key: &FlowKey,
         opening: Opening,
         deadline: &Deadline,
         actions: &mut Vec<Action>,
     ) -> Result<(), Opening> {
         let balancer = opening.balancer;
-        let waiting = opener_of(scene, key, &opening, deadline);
-        let prospect = self.prospect(scene, &waiting, &opening, deadline);
-        if !prospect.waits() || !self.has_place(scene, deadline) {
+        let waiting = opener_of(context, key, &opening, deadline);
+        let prospect = self.prospect(context, &waiting, &opening, deadline);
+        if !prospect.waits() || !self.has_place(context, deadline) {
             return Err(opening);
         }
         self.metrics.openers_queued.inc();
@@ -143,137 +147,137 @@
             "event=opener_queued flow={key} behind={} wait_ms={} due_ms={} busy={} slots={} revision={}",
             self.waiting.len(),
             prospect.wait_ms,
-            waiting.due_ms.saturating_sub(scene.now_ms),
+            waiting.due_ms.saturating_sub(context.now_ms),
             self.flows.busy(),
-            self.own_slots(scene).unwrap_or_default(),
-            scene.revision
+            self.own_slots(context).unwrap_or_default(),
+            context.revision
         );
         self.waiting.push(waiting);
-        self.say_taken(scene, key, balancer, actions);
-        self.serve_waiting(scene, actions);
+        self.say_taken(context, key, balancer, actions);
+        self.serve_waiting(context, actions);
         Ok(())
     }
 
-    fn has_place(&self, scene: &Scene<'_>, deadline: &Deadline) -> bool {
-        self.waiting.has_room() && self.waiting.len() < self.max_waiting(scene, deadline)
+    fn has_place(&self, context: &AgentContext<'_>, deadline: &Deadline) -> bool {
+        self.waiting.has_room() && self.waiting.len() < self.max_waiting(context, deadline)
     }
 
     /// Returns how many may wait: as many as can be served before a caller gives up.
-    fn max_waiting(&self, scene: &Scene<'_>, deadline: &Deadline) -> usize {
-        let slots = self.own_slots(scene).unwrap_or_default();
+    fn max_waiting(&self, context: &AgentContext<'_>, deadline: &Deadline) -> usize {
+        let slots = self.own_slots(context).unwrap_or_default();
         let served = f64::from(deadline.timeout_ms) / self.slot_time.service_ms();
         (served * f64::from(slots)).ceil() as usize
     }
 
     fn prospect(
         &mut self,
-        scene: &Scene<'_>,
+        context: &AgentContext<'_>,
         waiting: &Waiting<WaitingWork>,
         opening: &Opening,
         deadline: &Deadline,
     ) -> Prospect {
-        let slots = self.own_slots(scene).unwrap_or_default();
+        let slots = self.own_slots(context).unwrap_or_default();
         let service_ms = self.slot_time.service_ms();
         let pace = Pace {
             service_ms,
             slots,
             objective_ms: deadline.objective_ms,
         };
-        let before = self.waiting.ahead_of(waiting, &pace, scene.now_ms);
-        let wait_ms = self.wait_behind_ms(scene, slots, before);
+        let before = self.waiting.ahead_of(waiting, &pace, context.now_ms);
+        let wait_ms = self.wait_behind_ms(context, slots, before);
         let oldest_ms = self.waiting.iter().map(|waiting| waiting.since_ms).min();
         Prospect {
             age_ms: opening.age_ms(),
             attempt_age_ms: opening.copy_age_ms(),
-            wait_ms: wait_ms.max(self.cold_wait_ms(scene)),
+            wait_ms: wait_ms.max(self.cold_wait_ms(context)),
             service_ms,
             objective_ms: deadline.objective_ms,
             timeout_ms: deadline.timeout_ms,
-            longest_wait_ms: oldest_ms.map_or(0, |oldest_ms| scene.now_ms - oldest_ms),
+            longest_wait_ms: oldest_ms.map_or(0, |oldest_ms| context.now_ms - oldest_ms),
         }
     }
 
     /// Returns for how long an opener waits for its turn at a backend server that takes few new flows while it is cold,
     /// in milliseconds.
-    fn cold_wait_ms(&self, scene: &Scene<'_>) -> u64 {
+    fn cold_wait_ms(&self, context: &AgentContext<'_>) -> u64 {
         let is_opener =
             |waiting: &&Waiting<WaitingWork>| matches!(waiting.item.kind, WorkKind::Opener(_));
         let before = self.waiting.iter().filter(is_opener).count();
-        let flows_per_s = self.cold_flows_per_s(scene);
+        let flows_per_s = self.cold_flows_per_s(context);
         flows_per_s.map_or(0, |flows_per_s| self.cold_rate.wait_ms(flows_per_s, before))
     }
 
     /// Tells whether the backend server answers so little that nothing should wait for it: openers find others, and
     /// requests are refused at once when its own queue is full, so that their callers find others too.
-    pub(super) fn is_stuck(&mut self, scene: &Scene<'_>) -> bool {
-        self.note_slots(scene);
+    pub(super) fn is_stuck(&mut self, context: &AgentContext<'_>) -> bool {
+        self.note_slots(context);
         let is_silent = self.silent_since_ms.is_some();
-        is_silent || self.slot_time.is_stuck() || self.is_stalled(scene.now_ms)
+        is_silent || self.slot_time.is_stuck() || self.is_stalled(context.now_ms)
     }
 
     /// Hands over what waits while the backend server has room, and ends the wait of what has waited long enough.
-    pub(super) fn serve_waiting(&mut self, scene: &Scene<'_>, actions: &mut Vec<Action>) {
+    pub(super) fn serve_waiting(&mut self, context: &AgentContext<'_>, actions: &mut Vec<Action>) {
         if self.waiting.is_empty() {
             self.metrics.openers_waiting.set(0);
             return;
         }
         // What waits behind a pause of this process is too late for others as well.
-        self.end_overdue(scene, actions);
-        if self.is_stuck(scene) || self.admits_any(scene).is_err() {
-            self.pass_on_waiting(scene, actions);
+        self.end_overdue(context, actions);
+        if self.is_stuck(context) || self.admits_any(context).is_err() {
+            self.pass_on_waiting(context, actions);
             return;
         }
-        let slots = self.own_slots(scene).unwrap_or_default();
-        while self.has_room(scene, slots) {
+        let slots = self.own_slots(context).unwrap_or_default();
+        while self.has_room(context, slots) {
             let pace = self.pace(slots);
-            let may_open = self.has_cold_rate(scene);
+            let may_open = self.has_cold_rate(context);
             let may_go = |work: &WaitingWork| may_open || matches!(work.kind, WorkKind::Request(_));
-            let Some(next) = self.waiting.pop_if(&pace, scene.now_ms, may_go) else {
+            let Some(next) = self.waiting.pop_if(&pace, context.now_ms, may_go) else {
                 break;
             };
-            self.end_wait(scene, next, actions);
+            self.end_wait(context, next, actions);
         }
         self.metrics.openers_waiting.set(self.waiting.len() as i64);
     }
 
     /// Tells whether the backend server may be handed something that waits.
-    fn has_room(&mut self, scene: &Scene<'_>, slots: u32) -> bool {
+    fn has_room(&mut self, context: &AgentContext<'_>, slots: u32) -> bool {
         let objective_ms = self.pace(slots).objective_ms;
-        let busy = f64::from(self.flows.busy_now(scene.now_ms));
-        busy < self.handed_at_most(slots, objective_ms, scene.now_ms)
+        let busy = f64::from(self.flows.busy_now(context.now_ms));
+        busy < self.handed_at_most(slots, objective_ms, context.now_ms)
     }
 
     fn end_wait(
         &mut self,
-        scene: &Scene<'_>,
+        context: &AgentContext<'_>,
         waiting: Waiting<WaitingWork>,
         actions: &mut Vec<Action>,
     ) {
         let WaitingWork { key, kind } = waiting.item;
-        let waited_ms = scene.now_ms - waiting.since_ms;
+        let waited_ms = context.now_ms - waiting.since_ms;
         self.metrics
             .opener_wait_seconds
             .observe(waited_ms as f64 / MS_PER_S);
         match kind {
             WorkKind::Request(packets) => {
-                self.hand_request(scene, &key, packets, waited_ms, actions);
+                self.hand_request(context, &key, packets, waited_ms, actions);
             }
             WorkKind::Opener(opening)
-                if scene.directory.service_of(&key) != Some(self.identity.service) =>
+                if context.directory.service_of(&key) != Some(self.identity.service) =>
             {
-                self.hand_on(scene, &key, aged(opening, waited_ms), actions);
+                self.hand_on(context, &key, aged(opening, waited_ms), actions);
             }
             WorkKind::Opener(mut opening) => {
                 log::info!(
                     "event=opener_dequeued flow={key} waited_ms={waited_ms} busy={} slots={} service_ms={:.1}",
                     self.flows.busy(),
-                    self.own_slots(scene).unwrap_or_default(),
+                    self.own_slots(context).unwrap_or_default(),
                     self.slot_time.service_ms()
                 );
-                opening.since_ms = scene.now_ms;
+                opening.since_ms = context.now_ms;
                 let passed_on = opening.clone();
-                if !self.take_opener(scene, &key, opening, actions) {
-                    self.hand_on(scene, &key, aged(passed_on, waited_ms), actions);
+                if !self.take_opener(context, &key, opening, actions) {
+                    self.hand_on(context, &key, aged(passed_on, waited_ms), actions);
                 }
             }
         }
@@ -295,16 +299,20 @@
 
     /// Passes all openers that wait on to other agents, and hands all requests over, as where the process stops or
     /// the backend server takes nothing new.
-    pub(super) fn pass_on_waiting(&mut self, scene: &Scene<'_>, actions: &mut Vec<Action>) {
+    pub(super) fn pass_on_waiting(
+        &mut self,
+        context: &AgentContext<'_>,
+        actions: &mut Vec<Action>,
+    ) {
         for waiting in self.waiting.take_if(|_| true) {
             let WaitingWork { key, kind } = waiting.item;
-            let waited_ms = scene.now_ms - waiting.since_ms;
+            let waited_ms = context.now_ms - waiting.since_ms;
             match kind {
                 WorkKind::Opener(opening) => {
-                    self.hand_on(scene, &key, aged(opening, waited_ms), actions);
+                    self.hand_on(context, &key, aged(opening, waited_ms), actions);
                 }
                 WorkKind::Request(packets) => {
-                    self.hand_request(scene, &key, packets, waited_ms, actions);
+                    self.hand_request(context, &key, packets, waited_ms, actions);
                 }
             }
         }
@@ -313,21 +321,21 @@
 
     /// Refuses openers whose callers would have left before they are served, and drops requests whose callers have: a
     /// caller that still waits sends them again. A request of a caller whose deadline is not known has waited enough.
-    fn end_overdue(&mut self, scene: &Scene<'_>, actions: &mut Vec<Action>) {
-        let is_overdue = |waiting: &Waiting<WaitingWork>| waiting.deadline_ms <= scene.now_ms;
+    fn end_overdue(&mut self, context: &AgentContext<'_>, actions: &mut Vec<Action>) {
+        let is_overdue = |waiting: &Waiting<WaitingWork>| waiting.deadline_ms <= context.now_ms;
         for waiting in self.waiting.take_if(is_overdue) {
             let WaitingWork { key, kind } = waiting.item;
             match kind {
                 WorkKind::Opener(opening) => {
-                    self.refuse(scene, &key, &opening, "waited", actions);
+                    self.refuse(context, &key, &opening, "waited", actions);
                 }
-                WorkKind::Request(packets) if !scene.directory.has_deadline(key.called) => {
-                    let waited_ms = scene.now_ms - waiting.since_ms;
-                    self.hand_request(scene, &key, packets, waited_ms, actions);
+                WorkKind::Request(packets) if !context.directory.has_deadline(key.called) => {
+                    let waited_ms = context.now_ms - waiting.since_ms;
+                    self.hand_request(context, &key, packets, waited_ms, actions);
                 }
                 WorkKind::Request(_) => {
                     self.metrics.requests_given_up.inc();
-                    let waited_ms = scene.now_ms - waiting.since_ms;
+                    let waited_ms = context.now_ms - waiting.since_ms;
                     log::info!("event=request_given_up flow={key} waited_ms={waited_ms}");
                 }
             }
@@ -337,27 +345,27 @@
     /// Tells a caller that its opener is not taken; no server has it.
     pub(super) fn refuse(
         &self,
-        scene: &Scene<'_>,
+        context: &AgentContext<'_>,
         key: &FlowKey,
         opening: &Opening,
         reason: &str,
         actions: &mut Vec<Action>,
     ) {
         self.metrics.openers_refused.inc();
-        let waited_ms = scene.now_ms - opening.since_ms;
+        let waited_ms = context.now_ms - opening.since_ms;
         let age_ms = opening.age_ms() + waited_ms;
         log::info!(
             "event=opener_refused flow={key} reason={reason} waited_ms={waited_ms} age_ms={age_ms} waiting={} busy={} slots={} code={} revision={}",
             self.waiting.len(),
             self.flows.busy(),
-            self.own_slots(scene).unwrap_or_default(),
+            self.own_slots(context).unwrap_or_default(),
             Code::NoRoom.number(),
-            scene.revision
+            context.revision
         );
         if !opening.balancer.is_unspecified() {
             tell(MessageKind::Absent, key, opening.balancer, actions);
         }
-        self.tell_attempt_failed(scene, key, age_ms, actions);
+        self.tell_attempt_failed(context, key, age_ms, actions);
         self.reset(key, 0, Code::NoRoom, actions);
     }
 }
@@ -376,7 +384,7 @@
 
 /// Returns how an opener waits that came now.
 fn opener_of(
-    scene: &Scene<'_>,
+    context: &AgentContext<'_>,
     key: &FlowKey,
     opening: &Opening,
     deadline: &Deadline,
@@ -389,26 +397,26 @@
         key: *key,
         kind: WorkKind::Opener(opening.clone()),
     };
-    waiting_of(scene, work, age_ms, left_ms.min(opens_ms), deadline)
+    waiting_of(context, work, age_ms, left_ms.min(opens_ms), deadline)
 }
 
 /// Returns how something waits whose caller has waited for `age_ms` and may wait for `left_ms`.
 pub(super) fn waiting_of(
-    scene: &Scene<'_>,
+    context: &AgentContext<'_>,
     work: WaitingWork,
     age_ms: u64,
     left_ms: u64,
     deadline: &Deadline,
 ) -> Waiting<WaitingWork> {
-    let route = scene.directory.routes().get(work.key.called);
+    let route = context.directory.routes().get(work.key.called);
     let objective_ms = u64::from(deadline.objective_ms).saturating_sub(age_ms);
     Waiting {
         caller: u64::from(work.key.caller.ip().to_bits()),
         priority: route.map_or(0, |route| route.priority),
-        since_ms: scene.now_ms,
-        due_ms: scene.now_ms + objective_ms,
+        since_ms: context.now_ms,
+        due_ms: context.now_ms + objective_ms,
         objective_ms: deadline.objective_ms,
-        deadline_ms: scene.now_ms + left_ms,
+        deadline_ms: context.now_ms + left_ms,
         item: work,
     }
 }
--- a/src/opaque/mod.rs
+++ b/src/opaque/mod.rs
@@ -1,15 +1,15 @@
 //! Flows of packets that only their two ends can read; see docs/OPAQUE.md.
 //!
-//! A packet's way reads top to bottom in `forwarder`, for a balancer, and in `keeper`, for an agent. The rule
+//! A packet's way reads top to bottom in `forwarder`, for a balancer, and in `flow_agent`, for an agent. The rule
 //! that lives here: nothing is proof of where a flow is but its backend server, and without proof no flow is
 //! reset. Decisions stand in plain structs that are told the time and do no input or output: the balancer's
-//! in `forwarder`, the agent's in `keeper`. What they read stands in `openers` (whom to take and where others go),
+//! in `forwarder`, the agent's in `flow_agent`. What they read stands in `openers` (whom to take and where others go),
 //! `finding` (where a flow is) and `values` (what is published); what they send in `packets`. Around them stand the
 //! processes, in `processes`. `quic` is not used.
 
 mod finding;
+mod flow_agent;
 mod forwarder;
-mod keeper;
 mod openers;
 mod packets;
 mod processes;
@@ -27,8 +27,8 @@
 pub use crate::config::service_names::{SERVICES_NAME, service_names, services_text};
 pub use crate::opaque::finding::flow_search::FlowSearch;
 pub use crate::opaque::finding::lookup::{Lookups, Question, Verdict};
+pub use crate::opaque::flow_agent::{AgentContext, AgentIdentity, FlowAgent};
 pub use crate::opaque::forwarder::{Forwarder, steady_load, told_wait};
-pub use crate::opaque::keeper::{Keeper, KeeperIdentity, Scene};
 pub use crate::opaque::packets::action::Action;
 pub use crate::opaque::packets::message::{Message, MessageKind, UNKNOWN_AGE_MS, UNKNOWN_LOAD};
 pub use crate::opaque::packets::segment::{FlowKey, Segment, WireFormat};
--- a/src/opaque/openers/mod.rs
+++ b/src/opaque/openers/mod.rs
@@ -1,5 +1,5 @@
 //! What a decision about an opener reads: loads, outcomes, retries, and who is offered it next. The decision itself
-//! stands in `keeper::openers` for an agent and in `forwarder` for a balancer.
+//! stands in `flow_agent::openers` for an agent and in `forwarder` for a balancer.
 //!
 //! The rule that lives here: what is remembered here is a guess about others or a count of what passed, and never a reason to reset a flow. See docs/OPAQUE.md.
 
--- a/src/opaque/openers/opener_order.rs
+++ b/src/opaque/openers/opener_order.rs
@@ -3,7 +3,7 @@
 use std::net::Ipv4Addr;
 
 use crate::decisions::placement;
-use crate::opaque::keeper::Scene;
+use crate::opaque::flow_agent::AgentContext;
 use crate::opaque::packets::segment::FlowKey;
 
 /// Returns the agent after `own` in the order of a flow, if one is left that was not offered it
@@ -11,38 +11,38 @@
 ///
 /// All agents with the same table walk the same circle, so that no list of those passed must travel.
 pub(crate) fn next_host(
-    scene: &Scene<'_>,
+    context: &AgentContext<'_>,
     own: Ipv4Addr,
     key: &FlowKey,
     hops: u8,
     max_hops: usize,
 ) -> Option<Ipv4Addr> {
-    next_of(scene, own, key, hops, max_hops, |_| true)
+    next_of(context, own, key, hops, max_hops, |_| true)
 }
 
 /// The same among the agents whose backend servers are not published as cold.
 pub(crate) fn next_warm_host(
-    scene: &Scene<'_>,
+    context: &AgentContext<'_>,
     own: Ipv4Addr,
     key: &FlowKey,
     hops: u8,
     max_hops: usize,
 ) -> Option<Ipv4Addr> {
-    let is_warm = |host| !scene.directory.is_cold(host, scene.now_ms);
-    next_of(scene, own, key, hops, max_hops, is_warm)
+    let is_warm = |host| !context.directory.is_cold(host, context.now_ms);
+    next_of(context, own, key, hops, max_hops, is_warm)
 }
 
 fn next_of(
-    scene: &Scene<'_>,
+    context: &AgentContext<'_>,
     own: Ipv4Addr,
     key: &FlowKey,
     hops: u8,
     max_hops: usize,
     may_be: impl Fn(Ipv4Addr) -> bool,
 ) -> Option<Ipv4Addr> {
-    let table = scene.directory.table_of(key)?;
+    let table = context.directory.table_of(key)?;
     let order = placement::ranked(table, key.hash(), |row| {
-        let trusted = !scene.suspicion.is_suspected(row.host, scene.now_ms);
+        let trusted = !context.suspicion.is_suspected(row.host, context.now_ms);
         row.host == own || (row.weight > 0 && trusted && may_be(row.host))
     });
     let others = order.iter().filter(|row| row.host != own).count();
@@ -57,12 +57,12 @@
 /// Returns the agents but `own` that are first in the order of a flow, at most `count`: one of them likely
 /// holds it, since openers are placed and passed on along that order.
 pub(crate) fn likely_hosts(
-    scene: &Scene<'_>,
+    context: &AgentContext<'_>,
     own: Ipv4Addr,
     key: &FlowKey,
     count: usize,
 ) -> Vec<Ipv4Addr> {
-    let Some(table) = scene.directory.table_of(key) else {
+    let Some(table) = context.directory.table_of(key) else {
         return Vec::new();
     };
     let order = placement::ranked_by_slots(table, key.hash(), |row| row.host != own);
--- a/src/opaque/processes/mod.rs
+++ b/src/opaque/processes/mod.rs
@@ -1,6 +1,6 @@
 //! The balancer and the agent as processes: sockets, timers, readiness, the state dump.
 //!
-//! The rule that lives here: nothing here decides about a packet; `forwarder` and `keeper` are asked. See docs/OPAQUE.md.
+//! The rule that lives here: nothing here decides about a packet; `forwarder` and `flow_agent` are asked. See docs/OPAQUE.md.
 
 pub(crate) mod backend_watch;
 pub(crate) mod entry;
--- a/src/opaque/processes/side.rs
+++ b/src/opaque/processes/side.rs
@@ -1,4 +1,4 @@
-//! The agent of opaque flows: stands beside one backend server, asks [`Keeper`], sends.
+//! The agent of opaque flows: stands beside one backend server, asks [`FlowAgent`], sends.
 
 use std::cell::RefCell;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -15,7 +15,7 @@
 use crate::decisions::stall::LOOK_MS;
 use crate::error::{Error, Result};
 use crate::opaque::finding::lookup::asks_all;
-use crate::opaque::keeper::{Keeper, KeeperIdentity, Scene};
+use crate::opaque::flow_agent::{AgentContext, AgentIdentity, FlowAgent};
 use crate::opaque::packets::action::Action;
 use crate::opaque::packets::message::{Message, MessageKind};
 use crate::opaque::processes::backend_watch::{self, BackendSign};
@@ -40,7 +40,7 @@
 
 struct Side {
     node: Rc<Node>,
-    keeper: RefCell<Keeper>,
+    flow_agent: RefCell<FlowAgent>,
     backend: SocketAddrV4,
     backend_sender: std::net::UdpSocket,
     doubts: RefCell<mpsc::Sender<()>>,
@@ -63,7 +63,7 @@
     let fresh = control.settings.opaque.fresh_site;
     let (doubts, doubted) = mpsc::channel(1);
     let side = Rc::new(Side {
-        keeper: RefCell::new(Keeper::new(
+        flow_agent: RefCell::new(FlowAgent::new(
             node.wire,
             identity,
             fresh,
@@ -83,17 +83,17 @@
     side.subscribe();
     readiness::announce(&control, &ready);
     stop.await;
-    side.decide(|keeper, scene| Ok(keeper.leave(scene)));
+    side.decide(|agent, context| Ok(agent.leave(context)));
     log::info!("event=leaving grace_ms={}", LEAVING.as_millis());
     compio::time::sleep(LEAVING).await;
     Ok(())
 }
 
-fn identity(control: &Control) -> Result<KeeperIdentity> {
+fn identity(control: &Control) -> Result<AgentIdentity> {
     let settings = &control.settings.opaque;
     let missing = |key: &str| Error::new(Code::SettingsMissing, format!("[opaque] {key}"));
     let service = settings.service.as_deref();
-    Ok(KeeperIdentity {
+    Ok(AgentIdentity {
         host: control.settings.host,
         backend: settings.backend.ok_or_else(|| missing("backend"))?,
         service: ServiceId::of(service.ok_or_else(|| missing("service"))?),
@@ -117,7 +117,7 @@
     fn subscribe(self: &Rc<Self>) {
         self.node.subscribe();
         let side = self.clone();
-        let look = move || side.decide(|keeper, scene| Ok(keeper.published_changed(scene)));
+        let look = move || side.decide(|agent, context| Ok(agent.handle_published_change(context)));
         look();
         self.node.control.on_change(move |_| look());
         let side = self.clone();
@@ -125,19 +125,19 @@
         self.node.control.timers.every(ANNOUNCE_MS, announce);
         let side = self.clone();
         let seeds = self.node.control.settings.seeds.clone();
-        let greet = move || side.decide(|keeper, scene| Ok(keeper.greet(scene, &seeds)));
+        let greet = move || side.decide(|agent, context| Ok(agent.greet(context, &seeds)));
         self.node.control.timers.every(GREET_MS, greet);
         let side = self.clone();
-        let look = move || side.decide(|keeper, scene| Ok(keeper.look_for_stall(scene)));
+        let look = move || side.decide(|agent, context| Ok(agent.check_for_stall(context)));
         self.node.control.timers.every(LOOK_MS, look);
         let side = self.clone();
         let lifetime_ms = self.node.control.settings.opaque.flow_lifetime_ms();
         self.node.control.timers.every(TIDY_MS, move || {
             let now_ms = side.node.control.now_ms();
-            let mut keeper = side.keeper.borrow_mut();
-            keeper.expire(now_ms);
+            let mut agent = side.flow_agent.borrow_mut();
+            agent.expire(now_ms);
             if now_ms > lifetime_ms {
-                keeper.set_knows_all();
+                agent.set_knows_all_flows();
             }
         });
     }
@@ -148,7 +148,7 @@
     fn announce_unlisted(&self) {
         let directory = self.node.directory.borrow();
         let hosts = directory.current_hosts();
-        if !asks_all(&directory) || !self.keeper.borrow().is_unlisted(&directory) {
+        if !asks_all(&directory) || !self.flow_agent.borrow().is_backend_unlisted(&directory) {
             return;
         }
         let own = self.node.control.settings.host;
@@ -172,13 +172,19 @@
         match sign {
             BackendSign::Listens => {
                 let now_ms = self.node.control.now_ms();
-                self.keeper.borrow_mut().backend_listens(now_ms);
+                self.flow_agent
+                    .borrow_mut()
+                    .handle_backend_listening(now_ms);
             }
             BackendSign::Breaks => {
                 let now_ms = self.node.control.now_ms();
-                self.keeper.borrow_mut().backend_breaks(now_ms);
+                self.flow_agent
+                    .borrow_mut()
+                    .handle_backend_disconnected(now_ms);
+            }
+            BackendSign::Refuses => {
+                self.decide(|agent, context| Ok(agent.handle_backend_refused(context)))
             }
-            BackendSign::Refuses => self.decide(|keeper, scene| Ok(keeper.backend_refuses(scene))),
         }
     }
 
@@ -193,7 +199,7 @@
             }
             self.node.control.metrics.packets_in.inc();
             let packet = buffer.clone();
-            self.decide(|keeper, scene| keeper.backend_says(scene, packet));
+            self.decide(|agent, context| agent.handle_backend_packet(context, packet));
         }
     }
 
@@ -202,29 +208,29 @@
             return;
         }
         self.node.control.metrics.packets_in.inc();
-        self.decide(|keeper, scene| keeper.peer_says(scene, from, message, payload));
+        self.decide(|agent, context| agent.handle_peer_message(context, from, message, payload));
     }
 
-    /// Lets the keeper decide and does what it asks.
+    /// Runs one decision of the agent and performs its actions.
     fn decide(
         self: &Rc<Self>,
-        decision: impl FnOnce(&mut Keeper, &Scene<'_>) -> Result<Vec<Action>>,
+        decision: impl FnOnce(&mut FlowAgent, &AgentContext<'_>) -> Result<Vec<Action>>,
     ) {
         let control = &self.node.control;
         let result = {
             let directory = self.node.directory.borrow();
             let suspicion = control.suspicion.borrow();
-            let scene = Scene {
+            let context = AgentContext {
                 directory: &directory,
                 suspicion: &suspicion,
                 revision: control.store.borrow().digest().highest,
-                settled: self.node.values.is_settled(),
+                is_settled: self.node.values.is_settled(),
                 now_ms: control.now_ms(),
             };
-            let mut keeper = self.keeper.borrow_mut();
-            let result = decision(&mut keeper, &scene);
-            self.node.load_permille.set(keeper.load_permille(&scene));
-            if keeper.take_doubt() {
+            let mut agent = self.flow_agent.borrow_mut();
+            let result = decision(&mut agent, &context);
+            self.node.load_permille.set(agent.load_permille(&context));
+            if agent.take_reconnect_request() {
                 // One that waits already says the same.
                 let _ = self.doubts.borrow_mut().try_send(());
             }
@@ -242,9 +248,9 @@
 
     fn start_ticking(self: &Rc<Self>) {
         let (waiting, ticked) = (self.clone(), self.clone());
-        let is_waiting = move || waiting.keeper.borrow().is_waiting();
+        let is_waiting = move || waiting.flow_agent.borrow().needs_tick();
         self.ticker.start(is_waiting, move || {
-            ticked.decide(|keeper, scene| Ok(keeper.tick(scene)))
+            ticked.decide(|agent, context| Ok(agent.tick(context)))
         });
     }
 }
--- a/tests/opaque/backend_life.rs
+++ b/tests/opaque/backend_process.rs
@@ -71,17 +71,17 @@
     for port in 1..=4 {
         agent.open(&flow(port), 500);
     }
-    assert_eq!(agent.keeper.busy(), 4);
+    assert_eq!(agent.flow_agent.busy(), 4);
     agent.now_ms += 1_000;
-    agent.keeper.expire(agent.now_ms);
+    agent.flow_agent.expire(agent.now_ms);
     agent.deliver(&opener(&flow(50), 0));
     assert!(
         !reaches_backend(&agent.deliver(&opener(&flow(51), 0))),
         "only one is tried"
     );
     agent.now_ms += 2_000;
-    agent.keeper.expire(agent.now_ms);
-    assert_eq!(agent.keeper.busy(), 0);
+    agent.flow_agent.expire(agent.now_ms);
+    assert_eq!(agent.flow_agent.busy(), 0);
 }
 
 #[test]
@@ -96,9 +96,9 @@
         ..PacketSpec::default()
     };
     agent.backend(from_backend(&key, answer));
-    assert_eq!(agent.keeper.busy(), 0);
+    assert_eq!(agent.flow_agent.busy(), 0);
     agent.deliver(&request(&key, 501));
-    assert_eq!(agent.keeper.busy(), 0);
+    assert_eq!(agent.flow_agent.busy(), 0);
 }
 
 /// Publishes a new lifetime of the backend server beside the agent.
@@ -107,13 +107,13 @@
     let backend = Backend::parse(&text).expect("sound text");
     agent.directory.apply("i-next", backend, 50, agent.now_ms);
     agent.revision = 50;
-    agent.published_changed()
+    agent.handle_published_change()
 }
 
 #[test]
 fn flows_of_a_lifetime_before_are_reset_once_the_next_is_published() {
     let mut agent = AgentUnderTest::new(1, true);
-    agent.published_changed();
+    agent.handle_published_change();
     request_that_ends(&mut agent, 1, true);
     agent.open(&flow(2), 500);
     agent.answer_from_backend(&flow(2));
@@ -122,16 +122,16 @@
     agent.answer_from_backend(&flow(3));
     let actions = publish_next_lifetime(&mut agent);
     assert_eq!(resets(&actions), [flow(2)], "the third opened after it");
-    assert!(agent.published_changed().is_empty());
+    assert!(agent.handle_published_change().is_empty());
 }
 
 #[test]
 fn a_lifetime_that_outlived_a_break_keeps_its_flows() {
     let mut agent = AgentUnderTest::new(1, true);
-    agent.published_changed();
+    agent.handle_published_change();
     agent.open(&flow(2), 500);
     agent.now_ms += 10;
-    agent.keeper.backend_breaks(agent.now_ms);
+    agent.flow_agent.handle_backend_disconnected(agent.now_ms);
     agent.now_ms += 10;
     agent.answer_from_backend(&flow(2));
     assert!(resets(&publish_next_lifetime(&mut agent)).is_empty());
--- a/tests/opaque/builder.rs
+++ b/tests/opaque/builder.rs
@@ -3,9 +3,9 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use endivedyke::opaque::{
-    Action, Backend, BackendChange, BackendState, BackendValue, Directory, FlowKey, Forwarder,
-    GONE_TEXT, Keeper, KeeperIdentity, Message, MessageKind, OpaqueMetrics, ROUTES_HEADER,
-    RouteTable, Scene, Segment, UnusableReason, WireFormat, backend_text, deadlines,
+    Action, AgentContext, AgentIdentity, Backend, BackendChange, BackendState, BackendValue,
+    Directory, FlowAgent, FlowKey, Forwarder, GONE_TEXT, Message, MessageKind, OpaqueMetrics,
+    ROUTES_HEADER, RouteTable, Segment, UnusableReason, WireFormat, backend_text, deadlines,
     started_backend_text,
 };
 use endivedyke::{Code, Error, Result, Revision, ServiceId, Suspicion};
@@ -274,8 +274,8 @@
 }
 
 /// Returns who the agent on a host is.
-pub(crate) fn identity(index: u16) -> KeeperIdentity {
-    KeeperIdentity {
+pub(crate) fn identity(index: u16) -> AgentIdentity {
+    AgentIdentity {
         host: host(index),
         backend: backend_address(index),
         service: ServiceId::of(SERVICE),
@@ -283,16 +283,16 @@
     }
 }
 
-/// Returns the keeper of an agent that knows all flows.
-pub(crate) fn keeper(identity: KeeperIdentity) -> Keeper {
-    Keeper::new(WIRE, identity, true, &OpaqueMetrics::default())
+/// Returns an agent that knows all flows.
+pub(crate) fn flow_agent(identity: AgentIdentity) -> FlowAgent {
+    FlowAgent::new(WIRE, identity, true, &OpaqueMetrics::default())
 }
 
 /// The agents of a whole site, which all know the same and know all flows.
 pub(crate) struct Agents {
     pub(crate) directory: Directory,
     pub(crate) suspicion: Suspicion,
-    keepers: Vec<Keeper>,
+    flow_agents: Vec<FlowAgent>,
 }
 
 impl Agents {
@@ -300,12 +300,14 @@
         Self {
             directory: directory(count),
             suspicion: Suspicion::default(),
-            keepers: (1..=count).map(|index| keeper(identity(index))).collect(),
+            flow_agents: (1..=count)
+                .map(|index| flow_agent(identity(index)))
+                .collect(),
         }
     }
 
     pub(crate) fn count(&self) -> u16 {
-        self.keepers.len() as u16
+        self.flow_agents.len() as u16
     }
 
     /// Lets the agent on a host decide.
@@ -313,48 +315,56 @@
         &mut self,
         at: Ipv4Addr,
         now_ms: u64,
-        decide: impl FnOnce(&mut Keeper, &Scene<'_>) -> T,
+        decide: impl FnOnce(&mut FlowAgent, &AgentContext<'_>) -> T,
     ) -> T {
-        let scene = Scene {
+        let context = AgentContext {
             directory: &self.directory,
             suspicion: &self.suspicion,
             revision: u64::MAX.into(),
-            settled: true,
+            is_settled: true,
             now_ms,
         };
-        decide(&mut self.keepers[usize::from(index_of(at)) - 1], &scene)
+        decide(
+            &mut self.flow_agents[usize::from(index_of(at)) - 1],
+            &context,
+        )
     }
 
     /// Replaces every agent by one that has just started.
     pub(crate) fn restart(&mut self) {
-        self.keepers = Self::new(self.count()).keepers;
+        self.flow_agents = Self::new(self.count()).flow_agents;
     }
 }
 
 /// An agent with what it sees.
 pub(crate) struct AgentUnderTest {
-    pub(crate) keeper: Keeper,
+    pub(crate) flow_agent: FlowAgent,
     pub(crate) directory: Directory,
     pub(crate) suspicion: Suspicion,
     pub(crate) revision: u64,
-    pub(crate) settled: bool,
+    pub(crate) is_settled: bool,
     pub(crate) now_ms: u64,
 }
 
 impl AgentUnderTest {
     /// Returns the agent on host 1 of a site with this many hosts.
-    pub(crate) fn new(count: u16, knows_all: bool) -> Self {
+    pub(crate) fn new(count: u16, knows_all_flows: bool) -> Self {
         Self {
-            keeper: Keeper::new(WIRE, identity(1), knows_all, &OpaqueMetrics::default()),
+            flow_agent: FlowAgent::new(
+                WIRE,
+                identity(1),
+                knows_all_flows,
+                &OpaqueMetrics::default(),
+            ),
             directory: directory(count),
             suspicion: Suspicion::default(),
             revision: u64::from(count),
-            settled: true,
+            is_settled: true,
             now_ms: 1_000,
         }
     }
 
-    pub(crate) fn identity(&self) -> KeeperIdentity {
+    pub(crate) fn identity(&self) -> AgentIdentity {
         identity(1)
     }
 
@@ -367,20 +377,20 @@
         self.backend(from_backend(key, spec));
     }
 
-    fn with<T>(&mut self, decide: impl FnOnce(&mut Keeper, &Scene<'_>) -> T) -> T {
-        let scene = Scene {
+    fn with<T>(&mut self, decide: impl FnOnce(&mut FlowAgent, &AgentContext<'_>) -> T) -> T {
+        let context = AgentContext {
             directory: &self.directory,
             suspicion: &self.suspicion,
             revision: self.revision.into(),
-            settled: self.settled,
+            is_settled: self.is_settled,
             now_ms: self.now_ms,
         };
-        decide(&mut self.keeper, &scene)
+        decide(&mut self.flow_agent, &context)
     }
 
     /// Hands over a datagram of another process.
     pub(crate) fn hear(&mut self, from: Ipv4Addr, message: Message, payload: &[u8]) -> Vec<Action> {
-        self.with(|keeper, scene| keeper.peer_says(scene, from, &message, payload))
+        self.with(|agent, context| agent.handle_peer_message(context, from, &message, payload))
             .expect("sound packet")
     }
 
@@ -429,42 +439,42 @@
 
     /// Hands over a packet of the backend server.
     pub(crate) fn backend(&mut self, packet: Vec<u8>) -> Vec<Action> {
-        self.with(|keeper, scene| keeper.backend_says(scene, packet))
+        self.with(|agent, context| agent.handle_backend_packet(context, packet))
             .expect("sound packet")
     }
 
     /// Lets the connection to the backend server break and be made anew.
     pub(crate) fn reconnect(&mut self) {
         self.now_ms += 10;
-        self.keeper.backend_breaks(self.now_ms);
-        self.keeper.backend_listens(self.now_ms);
+        self.flow_agent.handle_backend_disconnected(self.now_ms);
+        self.flow_agent.handle_backend_listening(self.now_ms);
         self.now_ms += 10;
     }
 
     /// Lets the agent note its load, as with each message that it sends.
     pub(crate) fn look_at_load(&mut self) {
-        self.with(|keeper, scene| keeper.load_permille(scene));
+        self.with(|agent, context| agent.load_permille(context));
     }
 
-    pub(crate) fn look_for_stall(&mut self) -> Vec<Action> {
-        self.with(|keeper, scene| keeper.look_for_stall(scene))
+    pub(crate) fn check_for_stall(&mut self) -> Vec<Action> {
+        self.with(|agent, context| agent.check_for_stall(context))
     }
 
     pub(crate) fn refuse(&mut self) -> Vec<Action> {
-        self.with(|keeper, scene| keeper.backend_refuses(scene))
+        self.with(|agent, context| agent.handle_backend_refused(context))
     }
 
     pub(crate) fn leave(&mut self) -> Vec<Action> {
-        self.with(|keeper, scene| keeper.leave(scene))
+        self.with(|agent, context| agent.leave(context))
     }
 
-    pub(crate) fn published_changed(&mut self) -> Vec<Action> {
-        self.with(|keeper, scene| keeper.published_changed(scene))
+    pub(crate) fn handle_published_change(&mut self) -> Vec<Action> {
+        self.with(|agent, context| agent.handle_published_change(context))
     }
 
     pub(crate) fn tick_at(&mut self, now_ms: u64) -> Vec<Action> {
         self.now_ms = now_ms;
-        self.with(|keeper, scene| keeper.tick(scene))
+        self.with(|agent, context| agent.tick(context))
     }
 
     /// Opens a flow whose backend server chose this number.
--- a/tests/opaque/cold_starts.rs
+++ b/tests/opaque/cold_starts.rs
@@ -112,12 +112,12 @@
 fn a_server_of_a_zone_that_was_just_taken_back_may_be_cold() {
     let mut agent = AgentUnderTest::new(5, true);
     tell_rate(&mut agent.directory);
-    agent.published_changed();
+    agent.handle_published_change();
     agent.directory.set_evacuated(ZONE, true, 200);
-    agent.published_changed();
+    agent.handle_published_change();
     agent.now_ms += 5_000;
     agent.directory.set_evacuated(ZONE, false, 201);
-    agent.published_changed();
+    agent.handle_published_change();
     // Its entry has not told so yet.
     let (taken, _) = flood(&mut agent, 1_000, COLD_MS - 10);
     assert!(most_in_a_second(&taken) <= MOST, "{taken:?}");
@@ -129,10 +129,10 @@
 fn a_server_that_was_just_seen_to_start_may_be_cold() {
     let mut agent = AgentUnderTest::new(5, true);
     tell_rate(&mut agent.directory);
-    agent.keeper.backend_breaks(agent.now_ms);
+    agent.flow_agent.handle_backend_disconnected(agent.now_ms);
     agent.refuse();
     agent.now_ms += 100;
-    agent.keeper.backend_listens(agent.now_ms);
+    agent.flow_agent.handle_backend_listening(agent.now_ms);
     let (taken, _) = flood(&mut agent, 1_000, COLD_MS - 10);
     assert!(most_in_a_second(&taken) <= MOST, "{taken:?}");
 }
--- a/tests/opaque/declines.rs
+++ b/tests/opaque/declines.rs
@@ -27,7 +27,7 @@
 fn wait(agent: &mut AgentUnderTest, for_ms: u64) {
     agent.look_at_load();
     agent.now_ms += for_ms;
-    agent.keeper.expire(agent.now_ms);
+    agent.flow_agent.expire(agent.now_ms);
     agent.look_at_load();
 }
 
@@ -51,7 +51,7 @@
         let mut agent = loaded_agent();
         // Room for the opener, whatever it had to do before.
         agent.now_ms += 1_000;
-        agent.keeper.expire(agent.now_ms);
+        agent.flow_agent.expire(agent.now_ms);
         let actions = open(&mut agent, mean);
         let told = hosts_told(&actions, MessageKind::Declined);
         assert_eq!(told.len(), usize::from(declines), "{mean}: {actions:?}");
--- a/tests/opaque/keeper.rs
+++ b/tests/opaque/flow_agent.rs
@@ -1,7 +1,7 @@
 //! What an agent does with packets.
 
 use endivedyke::ServiceId;
-use endivedyke::opaque::{BackendState, KeeperIdentity, Message, MessageKind};
+use endivedyke::opaque::{AgentIdentity, BackendState, Message, MessageKind};
 
 use crate::builder::{self, host};
 use crate::builder::{
@@ -279,7 +279,10 @@
 fn requests_are_counted_from_the_packets() {
     let mut agent = AgentUnderTest::new(1, true);
     agent.open(&flow(1), 500);
-    assert_eq!((agent.keeper.busy(), agent.keeper.open_flows()), (1, 1));
+    assert_eq!(
+        (agent.flow_agent.busy(), agent.flow_agent.open_flows()),
+        (1, 1)
+    );
     let answer = PacketSpec {
         flags: ACK,
         sequence: 501,
@@ -287,7 +290,10 @@
         data_bytes: 100,
     };
     agent.backend(from_backend(&flow(1), answer));
-    assert_eq!((agent.keeper.busy(), agent.keeper.open_flows()), (0, 1));
+    assert_eq!(
+        (agent.flow_agent.busy(), agent.flow_agent.open_flows()),
+        (0, 1)
+    );
     let end = PacketSpec {
         flags: ACK | FIN,
         sequence: 601,
@@ -295,7 +301,10 @@
         data_bytes: 0,
     };
     agent.backend(from_backend(&flow(1), end));
-    assert_eq!((agent.keeper.busy(), agent.keeper.open_flows()), (0, 0));
+    assert_eq!(
+        (agent.flow_agent.busy(), agent.flow_agent.open_flows()),
+        (0, 0)
+    );
 }
 
 #[test]
@@ -314,11 +323,11 @@
     let mut agent = AgentUnderTest::new(2, true);
     let text = state_text(1, BackendState::Ready).replace(builder::SERVICE, "scene-intake");
     publish(&mut agent.directory, 1, &text, 9, 0);
-    let own = KeeperIdentity {
+    let own = AgentIdentity {
         service: ServiceId::of("scene-intake"),
         ..agent.identity()
     };
-    agent.keeper = builder::keeper(own);
+    agent.flow_agent = builder::flow_agent(own);
     for (newer, handed_on) in [(0, 1), (1, 0)] {
         let mut message = Message::new(MessageKind::Deliver);
         message.host = BALANCER;
@@ -357,9 +366,9 @@
 #[test]
 fn nothing_is_proved_while_lapsed_entries_may_come_back() {
     let mut agent = AgentUnderTest::new(1, true);
-    agent.settled = false;
+    agent.is_settled = false;
     assert!(resets(&agent.deliver(&request(&flow(1), 7))).is_empty());
     assert!(resets(&agent.tick_at(1_500)).is_empty());
-    agent.settled = true;
+    agent.is_settled = true;
     assert_eq!(resets(&agent.tick_at(1_520)), [flow(1)]);
 }
--- a/tests/opaque/greetings.rs
+++ b/tests/opaque/greetings.rs
@@ -16,8 +16,8 @@
     message.host = from;
     for index in 1..=agents.count() {
         let packet = opener(&flow(index), 0);
-        let heard = agents.with(host(index), now_ms, |keeper, scene| {
-            keeper.peer_says(scene, from, &message, &packet)
+        let heard = agents.with(host(index), now_ms, |agent, context| {
+            agent.handle_peer_message(context, from, &message, &packet)
         });
         heard.expect("sound packet");
     }
@@ -32,7 +32,7 @@
 fn greeted_with(agents: &mut Agents, seeds: &[Ipv4Addr], now_ms: u64) -> Vec<Vec<Ipv4Addr>> {
     let hosts = (1..=agents.count()).map(host);
     let actions: Vec<Vec<Action>> = hosts
-        .map(|at| agents.with(at, now_ms, |keeper, scene| keeper.greet(scene, seeds)))
+        .map(|at| agents.with(at, now_ms, |agent, context| agent.greet(context, seeds)))
         .collect();
     let greeted = actions.iter();
     greeted
--- a/tests/opaque/lifetimes.rs
+++ b/tests/opaque/lifetimes.rs
@@ -106,7 +106,7 @@
     agent.revision += 1;
     let text = started_text(1, start);
     publish(&mut agent.directory, 1, &text, agent.revision, agent.now_ms);
-    agent.published_changed()
+    agent.handle_published_change()
 }
 
 /// Returns an agent whose backend server held flow 2 when its connection broke.
@@ -142,13 +142,13 @@
         agent.open(&flow(port), 500);
     }
     agent.now_ms += 1_000;
-    agent.keeper.expire(agent.now_ms);
+    agent.flow_agent.expire(agent.now_ms);
     agent.deliver(&opener(&flow(50), 0));
     assert!(
         !reaches_backend(&agent.deliver(&opener(&flow(51), 0))),
         "it fails"
     );
-    agent.keeper.backend_breaks(agent.now_ms);
+    agent.flow_agent.handle_backend_disconnected(agent.now_ms);
     publish_start(&mut agent, 200);
     for port in 60..64 {
         assert!(
--- a/tests/opaque/main.rs
+++ b/tests/opaque/main.rs
@@ -1,6 +1,6 @@
 //! The decisions about opaque flows, without input or output.
 
-mod backend_life;
+mod backend_process;
 mod builder;
 mod cold_starts;
 mod crest;
@@ -8,11 +8,11 @@
 mod declines;
 mod directory;
 mod evacuation;
+mod flow_agent;
 mod flow_search;
 mod forwarder;
 mod freshness;
 mod greetings;
-mod keeper;
 mod lifetimes;
 mod lookup;
 mod message;
--- a/tests/opaque/message_bounds.rs
+++ b/tests/opaque/message_bounds.rs
@@ -3,7 +3,7 @@
 use std::net::Ipv4Addr;
 
 use endivedyke::ServiceId;
-use endivedyke::opaque::{Action, FlowKey, Keeper, Message, MessageKind, Scene};
+use endivedyke::opaque::{Action, AgentContext, FlowAgent, FlowKey, Message, MessageKind};
 
 use crate::builder::{
     Agents, BALANCER, SERVICE, acceptance, flow, forwarder, host, index_of, opener, request,
@@ -38,7 +38,11 @@
         }
     }
 
-    fn with<T>(&mut self, at: Ipv4Addr, decide: impl FnOnce(&mut Keeper, &Scene<'_>) -> T) -> T {
+    fn with<T>(
+        &mut self,
+        at: Ipv4Addr,
+        decide: impl FnOnce(&mut FlowAgent, &AgentContext<'_>) -> T,
+    ) -> T {
         self.agents.with(at, self.now_ms, decide)
     }
 
@@ -54,8 +58,8 @@
         if to == BALANCER {
             return None;
         }
-        let actions = self.with(to, |keeper, scene| {
-            keeper.peer_says(scene, from, message, payload)
+        let actions = self.with(to, |agent, context| {
+            agent.handle_peer_message(context, from, message, payload)
         });
         self.perform(to, actions.expect("sound packet"))
     }
@@ -78,7 +82,7 @@
     /// Lets an agent look at what it waits for, later.
     fn tick_after(&mut self, passed_ms: u64, at: Ipv4Addr) -> Option<Ipv4Addr> {
         self.now_ms += passed_ms;
-        let actions = self.with(at, |keeper, scene| keeper.tick(scene));
+        let actions = self.with(at, |agent, context| agent.tick(context));
         self.perform(at, actions)
     }
 
@@ -121,8 +125,8 @@
     }
 
     fn open(&mut self, key: &FlowKey, at: Ipv4Addr) {
-        let answer = self.with(at, |keeper, scene| {
-            keeper.backend_says(scene, acceptance(key, 500))
+        let answer = self.with(at, |agent, context| {
+            agent.handle_backend_packet(context, acceptance(key, 500))
         });
         answer.expect("sound packet");
         self.deliver(at, &request(key, 501));
--- a/tests/opaque/model.rs
+++ b/tests/opaque/model.rs
@@ -5,7 +5,8 @@
 use std::net::Ipv4Addr;
 
 use endivedyke::opaque::{
-    Action, Directory, FlowKey, Forwarder, Keeper, Message, MessageKind, OpaqueMetrics, Scene,
+    Action, AgentContext, Directory, FlowAgent, FlowKey, Forwarder, Message, MessageKind,
+    OpaqueMetrics,
 };
 use endivedyke::{Revision, Suspicion};
 use proptest::prelude::*;
@@ -39,7 +40,7 @@
 }
 
 struct AgentModel {
-    keeper: Keeper,
+    flow_agent: FlowAgent,
     backend: BackendModel,
     suspicion: Suspicion,
     /// The era of the platform that it knows.
@@ -173,14 +174,19 @@
     u32::from(index) * 100_000
 }
 
-fn keeper(index: u16, knows_all: bool) -> Keeper {
-    Keeper::new(WIRE, identity(index), knows_all, &OpaqueMetrics::default())
+fn flow_agent(index: u16, knows_all_flows: bool) -> FlowAgent {
+    FlowAgent::new(
+        WIRE,
+        identity(index),
+        knows_all_flows,
+        &OpaqueMetrics::default(),
+    )
 }
 
 impl SiteModel {
     fn new(hosts: u16) -> Self {
         let agents = (1..=hosts).map(|index| AgentModel {
-            keeper: keeper(index, true),
+            flow_agent: flow_agent(index, true),
             backend: BackendModel {
                 up: true,
                 ..BackendModel::default()
@@ -242,7 +248,7 @@
             }
             Event::RestartAgent(index) => {
                 let agent = &mut self.agents[usize::from(*index) - 1];
-                agent.keeper = keeper(*index, false);
+                agent.flow_agent = flow_agent(*index, false);
                 agent.era = self.era;
                 agent.started_on_copy = self.restored.is_some();
             }
@@ -257,7 +263,9 @@
             }
             Event::Refuse(index) => {
                 if !self.agents[usize::from(*index) - 1].backend.up {
-                    self.decide(*index, |keeper, scene| keeper.backend_refuses(scene));
+                    self.decide(*index, |agent, context| {
+                        agent.handle_backend_refused(context)
+                    });
                 }
             }
             Event::Pass(ms) => self.pass(*ms),
@@ -357,7 +365,7 @@
     fn pass(&mut self, ms: u64) {
         self.now_ms += ms;
         for index in 1..=self.agents.len() as u16 {
-            self.decide(index, |keeper, scene| keeper.tick(scene));
+            self.decide(index, |agent, context| agent.tick(context));
         }
     }
 
@@ -376,9 +384,9 @@
             payload,
             ..
         } = datagram.clone();
-        self.decide(index, |keeper, scene| {
-            keeper
-                .peer_says(scene, from, &message, &payload)
+        self.decide(index, |agent, context| {
+            agent
+                .handle_peer_message(context, from, &message, &payload)
                 .unwrap_or_default()
         });
     }
@@ -401,7 +409,11 @@
         }
     }
 
-    fn decide(&mut self, index: u16, decide: impl FnOnce(&mut Keeper, &Scene<'_>) -> Vec<Action>) {
+    fn decide(
+        &mut self,
+        index: u16,
+        decide: impl FnOnce(&mut FlowAgent, &AgentContext<'_>) -> Vec<Action>,
+    ) {
         let revision = self.revision_of(host(index));
         let agent = &mut self.agents[usize::from(index) - 1];
         let restored = self.restored.as_ref();
@@ -409,14 +421,14 @@
         let passed_ms = restored.map(|restored| self.now_ms - restored.since_ms);
         let copy = restored.filter(|_| agent.started_on_copy);
         let copy = copy.filter(|_| passed_ms < Some(WRITTEN_AGAIN_MS));
-        let scene = Scene {
+        let context = AgentContext {
             directory: copy.map_or(&self.directory, |restored| &restored.directory),
             suspicion: &agent.suspicion,
             revision,
-            settled: passed_ms.is_none_or(|passed_ms| passed_ms >= SETTLE_MS),
+            is_settled: passed_ms.is_none_or(|passed_ms| passed_ms >= SETTLE_MS),
             now_ms: self.now_ms,
         };
-        let actions = decide(&mut agent.keeper, &scene);
+        let actions = decide(&mut agent.flow_agent, &context);
         self.perform(host(index), actions);
     }
 
@@ -462,8 +474,10 @@
             Some(bounced(packet))
         };
         if let Some(answer) = answer {
-            self.decide(index, |keeper, scene| {
-                keeper.backend_says(scene, answer).unwrap_or_default()
+            self.decide(index, |agent, context| {
+                agent
+                    .handle_backend_packet(context, answer)
+                    .unwrap_or_default()
             });
         }
     }
--- a/tests/opaque/opened_flows.rs
+++ b/tests/opaque/opened_flows.rs
@@ -52,16 +52,16 @@
     deliver_opened(&mut agent, &request(&flow(1), 501));
     let actions = agent.tick_at(1_100);
     assert!(resets(&actions).is_empty());
-    assert_eq!(agent.keeper.open_flows(), 1);
+    assert_eq!(agent.flow_agent.open_flows(), 1);
 }
 
 #[test]
 fn without_that_knowledge_the_others_are_asked() {
-    for knows_all in [true, false] {
-        let mut agent = AgentUnderTest::new(300, knows_all);
+    for knows_all_flows in [true, false] {
+        let mut agent = AgentUnderTest::new(300, knows_all_flows);
         let packet = request(&flow(1), 501);
         let mut actions = agent.deliver(&packet);
-        if !knows_all {
+        if !knows_all_flows {
             actions = agent.backend(bounced(packet));
         }
         assert!(resets(&actions).is_empty());
--- a/tests/opaque/outcomes.rs
+++ b/tests/opaque/outcomes.rs
@@ -13,8 +13,8 @@
 /// Enough to show a failure among the answers of those.
 const LEAVING: std::ops::Range<u16> = 1..16;
 
-fn agent(has_deadline: bool, knows_all: bool) -> AgentUnderTest {
-    let mut agent = AgentUnderTest::new(3, knows_all);
+fn agent(has_deadline: bool, knows_all_flows: bool) -> AgentUnderTest {
+    let mut agent = AgentUnderTest::new(3, knows_all_flows);
     if has_deadline {
         tell_deadline(&mut agent.directory);
     }
@@ -72,7 +72,7 @@
     for port in ENDED {
         caller_leaves(&mut agent, port);
     }
-    assert_eq!(agent.keeper.busy(), 0);
+    assert_eq!(agent.flow_agent.busy(), 0);
     assert!(takes_openers(&mut agent));
 }
 
@@ -82,7 +82,7 @@
     for port in ENDED {
         flow_from_before_is_reset(&mut agent, port);
     }
-    assert_eq!(agent.keeper.busy(), 0);
+    assert_eq!(agent.flow_agent.busy(), 0);
     assert!(takes_openers(&mut agent));
 }
 
--- a/tests/opaque/queue_model/processes.rs
+++ b/tests/opaque/queue_model/processes.rs
@@ -3,7 +3,7 @@
 use std::net::Ipv4Addr;
 
 use endivedyke::opaque::{
-    Action, BackendState, Directory, Keeper, Message, MessageKind, Scene, UNKNOWN_LOAD,
+    Action, AgentContext, BackendState, Directory, FlowAgent, Message, MessageKind, UNKNOWN_LOAD,
     backend_text, cold_backend_text, steady_load, told_wait,
 };
 
@@ -61,7 +61,7 @@
             message.load_permille = UNKNOWN_LOAD;
         }
         if from != BALANCER && message.load_permille == UNKNOWN_LOAD {
-            message.load_permille = self.with(from, |keeper, scene| keeper.load_permille(scene));
+            message.load_permille = self.with(from, |agent, context| agent.load_permille(context));
         }
         message.append(&mut payload);
         if to == BALANCER {
@@ -71,14 +71,18 @@
         }
     }
 
-    fn with<T>(&mut self, at: Ipv4Addr, decide: impl FnOnce(&mut Keeper, &Scene<'_>) -> T) -> T {
+    fn with<T>(
+        &mut self,
+        at: Ipv4Addr,
+        decide: impl FnOnce(&mut FlowAgent, &AgentContext<'_>) -> T,
+    ) -> T {
         self.agents.with(at, self.now_ms, decide)
     }
 
     pub(super) fn agent_hears(&mut self, at: Ipv4Addr, from: Ipv4Addr, datagram: &[u8]) {
         let (payload, message) = Message::split(datagram).expect("sound");
-        let actions = self.with(at, |keeper, scene| {
-            keeper.peer_says(scene, from, &message, payload)
+        let actions = self.with(at, |agent, context| {
+            agent.handle_peer_message(context, from, &message, payload)
         });
         self.perform(at, actions.unwrap_or_default());
     }
@@ -128,7 +132,9 @@
     }
 
     pub(super) fn backend_says(&mut self, at: Ipv4Addr, packet: Vec<u8>) {
-        let actions = self.with(at, |keeper, scene| keeper.backend_says(scene, packet));
+        let actions = self.with(at, |agent, context| {
+            agent.handle_backend_packet(context, packet)
+        });
         self.perform(at, actions.unwrap_or_default());
     }
 
@@ -144,7 +150,7 @@
         }
         self.perform(BALANCER, actions);
         for index in 1..=self.plan.servers {
-            let actions = self.with(host(index), |keeper, scene| keeper.tick(scene));
+            let actions = self.with(host(index), |agent, context| agent.tick(context));
             self.perform(host(index), actions);
         }
     }
@@ -156,9 +162,9 @@
             let server = &self.servers[usize::from(index) - 1];
             let busy = server.queue.len() + server.running.len();
             self.told[usize::from(index) - 1] = busy as f64 / self.plan.slots as f64;
-            let permille = self.with(host(index), |keeper, scene| {
-                keeper.expire(scene.now_ms);
-                keeper.load_permille(scene)
+            let permille = self.with(host(index), |agent, context| {
+                agent.expire(context.now_ms);
+                agent.load_permille(context)
             });
             // One of many asks few agents for the newest values, and hears the others when it sends to them.
             if let [only] = self.forwarders.as_mut_slice() {
--- a/tests/opaque/reused_addresses.rs
+++ b/tests/opaque/reused_addresses.rs
@@ -67,13 +67,13 @@
 fn an_entry_of_the_copy_proves_no_end() {
     for old in [started_text(1, 100), state_text(1, BackendState::Ready)] {
         let mut agent = AgentUnderTest::new(3, true);
-        agent.published_changed();
+        agent.handle_published_change();
         agent.open(&flow(2), 500);
         agent.answer_from_backend(&flow(2));
         agent.reconnect();
         publish_old(&mut agent.directory, &old, 2, agent.now_ms);
-        assert!(resets(&agent.published_changed()).is_empty(), "{old}");
+        assert!(resets(&agent.handle_published_change()).is_empty(), "{old}");
         agent.now_ms += FLOW_LIFETIME_MS / 10;
-        assert!(resets(&agent.published_changed()).is_empty(), "{old}");
+        assert!(resets(&agent.handle_published_change()).is_empty(), "{old}");
     }
 }
--- a/tests/opaque/stalls.rs
+++ b/tests/opaque/stalls.rs
@@ -91,7 +91,7 @@
     for port in IDLE {
         let mut caller = Caller::open(&mut agent, port);
         caller.exchange(&mut agent, ANSWER_BYTES);
-        agent.look_for_stall();
+        agent.check_for_stall();
         callers.push(caller);
     }
     (agent, callers)
@@ -124,7 +124,7 @@
             caller.send(agent, RST, 0);
         }
         agent.now_ms += LOOK_MS / 2;
-        reset.extend(resets(&agent.look_for_stall()));
+        reset.extend(resets(&agent.check_for_stall()));
     }
     reset
 }
@@ -239,7 +239,7 @@
     };
     let answer = caller.answer(ANSWER_BYTES);
     agent.backend(answer);
-    assert!(resets(&agent.look_for_stall()).is_empty());
+    assert!(resets(&agent.check_for_stall()).is_empty());
     assert!(pass(&mut agent, 500, 2_000).is_empty());
 }
 
@@ -264,7 +264,7 @@
     let mut taken = Vec::new();
     for port in 3_000..3_200 {
         agent.now_ms += 10;
-        agent.look_for_stall();
+        agent.check_for_stall();
         let actions = agent.deliver(&opener(&flow(port), 0));
         if reaches_backend(&actions) {
             agent.backend(acceptance(&flow(port), 500));
@@ -302,7 +302,7 @@
         caller.request(&mut agent);
         hung.push(caller);
         agent.now_ms += LOOK_MS / 2;
-        agent.look_for_stall();
+        agent.check_for_stall();
     }
     for caller in &mut hung {
         let answer = caller.answer(ANSWER_BYTES);
@@ -317,7 +317,7 @@
             agent.backend(acceptance(&flow(port), 500));
             agent.deliver(&request(&flow(port), 501));
         }
-        agent.keeper.busy()
+        agent.flow_agent.busy()
     });
     let [none, half, whole] = steps;
     assert_eq!(none, 1, "{steps:?}");
@@ -363,7 +363,7 @@
         caller.request(&mut agent);
         agent.backend(bounced(from_caller(&caller.key, spec)));
         agent.now_ms += LOOK_MS / 2;
-        reset.extend(resets(&agent.look_for_stall()));
+        reset.extend(resets(&agent.check_for_stall()));
     }
     assert!(reset.is_empty());
 }
@@ -375,8 +375,8 @@
     agent.refuse();
     agent.now_ms += 200;
     agent.refuse();
-    assert!(!agent.keeper.backend_up());
-    agent.keeper.backend_listens(agent.now_ms);
-    assert!(resets(&agent.look_for_stall()).is_empty());
+    assert!(!agent.flow_agent.is_backend_up());
+    agent.flow_agent.handle_backend_listening(agent.now_ms);
+    assert!(resets(&agent.check_for_stall()).is_empty());
     assert!(reaches_backend(&agent.deliver(&opener(&flow(1), 0))));
 }
--- a/tests/opaque/unpublished_servers.rs
+++ b/tests/opaque/unpublished_servers.rs
@@ -7,7 +7,7 @@
 use endivedyke::opaque::{Backend, BackendState, Deadline, Directory, ROUTES_HEADER, RouteTable};
 
 use crate::builder::{
-    AgentUnderTest, CALLED, SERVICE, ZONE, flow, host, identity, keeper, opener, overwrite,
+    AgentUnderTest, CALLED, SERVICE, ZONE, flow, flow_agent, host, identity, opener, overwrite,
     publish, reaches_backend, resets, started_text, state_text, takers, vanish,
 };
 
@@ -43,18 +43,18 @@
     if seen == Seen::RefusedThenAccepted {
         restart_server(&mut agent);
     }
-    agent.keeper.backend_listens(agent.now_ms);
+    agent.flow_agent.handle_backend_listening(agent.now_ms);
     agent
 }
 
 /// Lets the process of the server end, so that connections are refused, and another one listen.
 fn restart_server(agent: &mut AgentUnderTest) {
-    agent.keeper.backend_breaks(agent.now_ms);
+    agent.flow_agent.handle_backend_disconnected(agent.now_ms);
     agent.refuse();
     agent.now_ms += 200;
     agent.refuse();
     agent.now_ms += 200;
-    agent.keeper.backend_listens(agent.now_ms);
+    agent.flow_agent.handle_backend_listening(agent.now_ms);
 }
 
 /// Tells whether an opener of a new flow reaches the server.
@@ -67,7 +67,7 @@
     agent.revision += 1;
     let text = state_text(1, state);
     publish(&mut agent.directory, 1, &text, agent.revision, agent.now_ms);
-    agent.published_changed();
+    agent.handle_published_change();
 }
 
 #[test]
@@ -75,10 +75,16 @@
     for seen in [Seen::Accepted, Seen::RefusedThenAccepted] {
         let mut agent = agent(seen);
         assert!(!takes(&mut agent, 1), "{seen:?}");
-        assert!(agent.keeper.is_unlisted(&agent.directory), "{seen:?}");
+        assert!(
+            agent.flow_agent.is_backend_unlisted(&agent.directory),
+            "{seen:?}"
+        );
         publish_own(&mut agent, BackendState::Ready);
         assert!(takes(&mut agent, 2), "{seen:?}");
-        assert!(!agent.keeper.is_unlisted(&agent.directory), "{seen:?}");
+        assert!(
+            !agent.flow_agent.is_backend_unlisted(&agent.directory),
+            "{seen:?}"
+        );
     }
 }
 
@@ -115,7 +121,7 @@
         let mut agent = agent(seen);
         publish_own(&mut agent, BackendState::Draining);
         vanish(&mut agent.directory, 1, 9, agent.now_ms);
-        agent.published_changed();
+        agent.handle_published_change();
         assert!(!takes(&mut agent, 1), "{seen:?}");
         restart_server(&mut agent);
         assert!(!takes(&mut agent, 2), "{seen:?}");
@@ -138,7 +144,7 @@
     let mut agent = agent(Seen::Accepted);
     publish_own(&mut agent, BackendState::Ready);
     vanish(&mut agent.directory, 1, 9, agent.now_ms);
-    agent.published_changed();
+    agent.handle_published_change();
     assert!(takes(&mut agent, 1));
     agent.now_ms += 2_500;
     agent.directory.expire(agent.now_ms, agent.now_ms);
@@ -185,9 +191,9 @@
     assert!(takes(&mut agent, 1));
     // The next agent finds the server listening, and the store empty.
     let directory = self::agent(Seen::Accepted).directory;
-    agent.keeper = keeper(identity(1));
+    agent.flow_agent = flow_agent(identity(1));
     agent.directory = directory;
-    agent.keeper.backend_listens(agent.now_ms);
+    agent.flow_agent.handle_backend_listening(agent.now_ms);
     assert!(!takes(&mut agent, 2));
 }
 
@@ -201,11 +207,11 @@
     agent.open(&flow(2), 500);
     agent.answer_from_backend(&flow(2));
     // Its entry stands for a while after it has ended, and the next lifetime takes flows under it.
-    agent.keeper.backend_breaks(agent.now_ms);
+    agent.flow_agent.handle_backend_disconnected(agent.now_ms);
     agent.refuse();
     agent.now_ms += 200;
     assert_eq!(resets(&agent.refuse()), [flow(2)]);
     assert!(!takes(&mut agent, 3), "nothing listens");
-    agent.keeper.backend_listens(agent.now_ms);
+    agent.flow_agent.handle_backend_listening(agent.now_ms);
     assert!(takes(&mut agent, 4));
 }
--- a/tests/opaque/unusable_entries.rs
+++ b/tests/opaque/unusable_entries.rs
@@ -88,13 +88,13 @@
 #[test]
 fn an_agent_whose_entry_was_overwritten_keeps_its_flows_and_makes_itself_known() {
     let mut agent = AgentUnderTest::new(2, true);
-    agent.keeper.backend_listens(agent.now_ms);
+    agent.flow_agent.handle_backend_listening(agent.now_ms);
     agent.open(&flow(1), 500);
     agent.answer_from_backend(&flow(1));
-    assert!(!agent.keeper.is_unlisted(&agent.directory));
+    assert!(!agent.flow_agent.is_backend_unlisted(&agent.directory));
     overwrite(&mut agent.directory, 1, 9, agent.now_ms);
-    assert!(resets(&agent.published_changed()).is_empty());
-    assert!(agent.keeper.is_unlisted(&agent.directory));
+    assert!(resets(&agent.handle_published_change()).is_empty());
+    assert!(agent.flow_agent.is_backend_unlisted(&agent.directory));
     assert!(reaches_backend(&agent.deliver(&request(&flow(1), 501))));
     assert!(!reaches_backend(&agent.deliver(&opener(&flow(2), 0))));
 }
--- a/tests/opaque/waiting.rs
+++ b/tests/opaque/waiting.rs
@@ -31,7 +31,7 @@
     for port in 1..=FULL {
         agent.open(&flow(port), 500);
     }
-    assert_eq!(agent.keeper.busy(), u32::from(FULL));
+    assert_eq!(agent.flow_agent.busy(), u32::from(FULL));
     agent
 }
 
@@ -219,7 +219,7 @@
         100,
         agent.now_ms,
     );
-    agent.published_changed();
+    agent.handle_published_change();
     agent.deliver(&opener(&flow(100), 0));
     agent.reconnect();
     publish(
@@ -229,7 +229,7 @@
         200,
         agent.now_ms,
     );
-    agent.published_changed();
+    agent.handle_published_change();
     let mut handed_over = 0;
     for after_ms in [20, 40, 60] {
         let actions = agent.tick_at(agent.now_ms + after_ms);
