--- a/lab/src/service_model.rs
+++ b/lab/src/service_model.rs
@@ -8,8 +8,8 @@
 use std::net::Ipv4Addr;
 
 use endivedyke::{
-    Admission, Decision, LoadReport, Opener, OpenerSource, PeerLoads, TABLE_HEADER, Table, TableRow,
-    place_opener,
+    Admission, Decision, LoadReport, Opener, OpenerSource, PeerLoads, TABLE_HEADER, Table,
+    TableRow, place_opener,
 };
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -255,18 +255,27 @@
     ) -> AvailablePeers {
         let own_weight = table.row_on(self.host).map_or(0, |row| row.weight);
         let others = table.rows.iter().filter(|row| row.host != self.host);
- let estimated_load = |row: &TableRow| { let reported = peer_loads.fresh_load(row.host, now_ms)?; self.estimate_peer_load(row, &reported, own_weight)
+        let estimated_load = |row: &TableRow| {
+            let reported = peer_loads.fresh_load(row.host, now_ms)?;
+            self.estimate_peer_load(row, &reported, own_weight)
         };
         AvailablePeers(others.filter_map(estimated_load).collect())
     }
 
     /// Estimates a peer's load from its report and this agent's own growth since the report.
     ///
- /// When all flows of a site reopen within seconds, reports are outdated before they arrive, and
-/// every peer would appear to be below the mean. But the hash spreads openers evenly, so that a
-/// peer has grown as this agent would have without deflection; see docs/DESIGN.md,
-/// "Deflection".
-fn estimate_peer_load( &self, row: &TableRow, reported: &PeerLoad, own_weight: u32, ) -> Option<TargetLoad> { let report = &reported.report; let mut load = TargetLoad::new(row, report.open_flows, report.share_permille);
+    /// When all flows of a site reopen within seconds, reports are outdated before they arrive, and
+    /// every peer would appear to be below the mean. But the hash spreads openers evenly, so that a
+    /// peer has grown as this agent would have without deflection; see docs/DESIGN.md,
+    /// "Deflection".
+    fn estimate_peer_load(
+        &self,
+        row: &TableRow,
+        reported: &PeerLoad,
+        own_weight: u32,
+    ) -> Option<TargetLoad> {
+        let report = &reported.report;
+        let mut load = TargetLoad::new(row, report.open_flows, report.share_permille);
         if own_weight > 0 {
             let ratio = f64::from(row.weight) / f64::from(own_weight);
             let growth = self.history.growth_since(reported.measured_ms) * ratio;
@@ -301,7 +310,11 @@
         peer_loads: &PeerLoads,
         now_ms: u64,
     ) -> Option<Ipv4Addr> {
- let is_unreported = |row: &TableRow| row.host != self.host && peer_loads.fresh_load(row.host, now_ms).is_none(); let placement = placement::place_opener(table, opener.hash, is_unreported)?; Some(placement.owner.host)
+        let is_unreported = |row: &TableRow| {
+            row.host != self.host && peer_loads.fresh_load(row.host, now_ms).is_none()
+        };
+        let placement = placement::place_opener(table, opener.hash, is_unreported)?;
+        Some(placement.owner.host)
     }
 
     fn has_room(&self, row: &TableRow) -> bool {
@@ -347,7 +360,8 @@
     weight: f64,
 }
 
-impl TargetLoad { fn new(row: &TableRow, open_flows: u32, share_permille: u16) -> Self {
+impl TargetLoad {
+    fn new(row: &TableRow, open_flows: u32, share_permille: u16) -> Self {
         let share = f64::from(share_permille) / f64::from(FULL_SHARE_PERMILLE);
         Self {
             host: row.host,
--- a/src/opaque/openers/mod.rs
+++ b/src/opaque/openers/mod.rs
@@ -1,6 +1,6 @@
 //! The inputs of decisions about openers: candidates, loads, outcomes and retries.
 //!
-//! An agent decides in `keeper::openers`, a balancer in `forwarder`. The state in this module is an
+//! An agent decides in `flow_agent::openers`, a balancer in `forwarder`. The state in this module is an
 //! estimate of other hosts or a count of past events, and never a reason to reset a flow. See
 //! docs/OPAQUE.md.
 
--- a/src/opaque/openers/opener_order.rs
+++ b/src/opaque/openers/opener_order.rs
@@ -3,7 +3,7 @@
 use std::net::Ipv4Addr;
 
 use crate::decisions::placement;
-use crate::opaque::keeper::Scene;
+use crate::opaque::flow_agent::AgentContext;
 use crate::opaque::packets::segment::FlowKey;
 
 /// Returns the agent after `own` in the order of a flow, or `None` after `max_hops` agents or after all.
@@ -11,38 +11,38 @@
 /// All agents with the same table follow the same circular order, so that the opener needs no list of
 /// the agents that have passed it on.
 pub(crate) fn next_host(
-    scene: &Scene<'_>,
+    context: &AgentContext<'_>,
     own: Ipv4Addr,
     key: &FlowKey,
     hops: u8,
     max_hops: usize,
 ) -> Option<Ipv4Addr> {
-    next_eligible(scene, own, key, hops, max_hops, |_| true)
+    next_eligible(context, own, key, hops, max_hops, |_| true)
 }
 
 /// Like [`next_host`], among the agents whose backend servers are not published as cold.
 pub(crate) fn next_warm_host(
-    scene: &Scene<'_>,
+    context: &AgentContext<'_>,
     own: Ipv4Addr,
     key: &FlowKey,
     hops: u8,
     max_hops: usize,
 ) -> Option<Ipv4Addr> {
-    let is_warm = |host| !scene.directory.is_cold(host, scene.now_ms);
-    next_eligible(scene, own, key, hops, max_hops, is_warm)
+    let is_warm = |host| !context.directory.is_cold(host, context.now_ms);
+    next_eligible(context, own, key, hops, max_hops, is_warm)
 }
 
 fn next_eligible(
-    scene: &Scene<'_>,
+    context: &AgentContext<'_>,
     own: Ipv4Addr,
     key: &FlowKey,
     hops: u8,
     max_hops: usize,
     is_eligible: impl Fn(Ipv4Addr) -> bool,
 ) -> Option<Ipv4Addr> {
-    let table = scene.directory.table_for_flow(key)?;
+    let table = context.directory.table_for_flow(key)?;
     let order = placement::rank_targets(table, key.hash(), |row| {
-        let trusted = !scene.suspicion.is_suspected(row.host, scene.now_ms);
+        let trusted = !context.suspicion.is_suspected(row.host, context.now_ms);
         row.host == own || (row.weight > 0 && trusted && is_eligible(row.host))
     });
     let others = order.iter().filter(|row| row.host != own).count();
@@ -58,12 +58,12 @@
 ///
 /// One of them likely holds the flow, since openers are placed and passed on in that order.
 pub(crate) fn likely_holders(
-    scene: &Scene<'_>,
+    context: &AgentContext<'_>,
     own: Ipv4Addr,
     key: &FlowKey,
     count: usize,
 ) -> Vec<Ipv4Addr> {
-    let Some(table) = scene.directory.table_for_flow(key) else {
+    let Some(table) = context.directory.table_for_flow(key) else {
         return Vec::new();
     };
     let order = placement::rank_targets_by_slots(table, key.hash(), |row| row.host != own);
--- a/tests/opaque/message_bounds.rs
+++ b/tests/opaque/message_bounds.rs
@@ -3,7 +3,7 @@
 use std::net::Ipv4Addr;
 
 use endivedyke::ServiceId;
-use endivedyke::opaque::{Action, FlowKey, Keeper, Message, MessageKind, Scene};
+use endivedyke::opaque::{Action, AgentContext, FlowAgent, FlowKey, Message, MessageKind};
 
 use crate::builder::{
     Agents, BALANCER, SERVICE, acceptance, flow, forwarder, host, index_of, opener, request,
@@ -38,7 +38,11 @@
         }
     }
 
-    fn with<T>(&mut self, at: Ipv4Addr, decide: impl FnOnce(&mut Keeper, &Scene<'_>) -> T) -> T {
+    fn with<T>(
+        &mut self,
+        at: Ipv4Addr,
+        decide: impl FnOnce(&mut FlowAgent, &AgentContext<'_>) -> T,
+    ) -> T {
         self.agents.with(at, self.now_ms, decide)
     }
 
@@ -55,8 +59,8 @@
         if to == BALANCER {
             return None;
         }
-        let actions = self.with(to, |keeper, scene| {
-            keeper.peer_says(scene, from, message, payload)
+        let actions = self.with(to, |agent, context| {
+            agent.handle_peer_message(context, from, message, payload)
         });
         self.run_actions(to, actions.expect("sound packet"))
     }
@@ -79,7 +83,7 @@
     /// Ticks an agent after a time. Returns the agent that handed a packet to its backend server.
     fn tick_after(&mut self, elapsed_ms: u64, at: Ipv4Addr) -> Option<Ipv4Addr> {
         self.now_ms += elapsed_ms;
-        let actions = self.with(at, |keeper, scene| keeper.tick(scene));
+        let actions = self.with(at, |agent, context| agent.tick(context));
         self.run_actions(at, actions)
     }
 
@@ -122,8 +126,8 @@
     }
 
     fn open(&mut self, key: &FlowKey, at: Ipv4Addr) {
-        let answer = self.with(at, |keeper, scene| {
-            keeper.backend_says(scene, acceptance(key, 500))
+        let answer = self.with(at, |agent, context| {
+            agent.handle_backend_packet(context, acceptance(key, 500))
         });
         answer.expect("sound packet");
         self.deliver(at, &request(key, 501));
