--- a/src/decisions/slots.rs
+++ b/src/decisions/slots.rs
@@ -5,7 +5,7 @@
 use crate::decisions::wait_queue::{QueueParams, QueuedItem, WaitQueue};
 
 /// The maximum number of waiting requests per slot.
-pub(crate) const QUEUE_PER_SLOT: u32 = 2;
+pub(crate) const MAX_QUEUED_PER_SLOT: u32 = 2;
 /// The shortest retry time that a refused caller is given, in milliseconds.
 pub(crate) const MIN_RETRY_AFTER_MS: u32 = 50;
 /// The longest retry time that a refused caller is given, in milliseconds.
@@ -106,7 +106,7 @@
             self.busy += 1;
             return ArrivalOutcome::Run;
         }
-        if self.queue.len() as u64 >= u64::from(self.slots) * u64::from(QUEUE_PER_SLOT) {
+        if self.queue.len() as u64 >= u64::from(self.slots) * u64::from(MAX_QUEUED_PER_SLOT) {
             return self.refuse(Code::Overloaded);
         }
         let end_ms = now_ms as f64 + self.wait_ms() as f64 + self.service_ms();
--- a/src/decisions/wait_queue.rs
+++ b/src/decisions/wait_queue.rs
@@ -9,7 +9,7 @@
 
 /// The default maximum length: even with the shortest requests, of a few milliseconds, items behind
 /// that many would wait past any deadline.
-const MAX_WAITING: usize = 256;
+const DEFAULT_MAX_LEN: usize = 256;
 
 /// How many service times to allow for the answer of a served item: many take longer than the mean.
 const SERVICE_MARGIN: f64 = 2.0;
@@ -84,7 +84,7 @@
     fn default() -> Self {
         Self {
             entries: Vec::new(),
-            max_len: MAX_WAITING,
+            max_len: DEFAULT_MAX_LEN,
         }
     }
 }
