--- a/src/config/backend_entry.rs
+++ b/src/config/backend_entry.rs
@@ -1,4 +1,4 @@
-//! What a backend server publishes of itself.
+//! The published entries of backend servers: their text format and its parser.
 
 use std::net::SocketAddrV4;
 
@@ -7,32 +7,34 @@
 use crate::config::table;
 use crate::error::{Error, Result};
 
-/// What the name of a published backend server starts with; its id follows.
+/// The prefix of the name of a backend server's entry; the server's id follows.
 pub const BACKEND_PREFIX: &str = "backend/";
-/// The text of a value whose backend server is no longer published.
+/// The text of an entry whose backend server is no longer published.
 pub const GONE_TEXT: &str = "gone";
-/// What the text of a value starts with that names no backend server to use; the reason follows.
+/// The prefix of the text of an unusable entry; the reason follows.
 const UNUSABLE_PREFIX: &str = "unusable,";
-/// What the field starts with that tells the start of a backend server.
+/// The prefix of the field that holds the start time of a backend server.
 const STARTED_PREFIX: &str = "started=";
 
-/// The longest cold start that is believed, in milliseconds: a slip of the pen must not slow a service for
-/// days. The users' servers are cold for two seconds.
+/// The upper bound of a published cold start, in milliseconds; longer ones are cut to it.
+///
+/// It keeps a typing error from slowing a service down for days. The users' servers are cold for
+/// two seconds.
 const MAX_COLD_MS: u32 = 60_000;
 
 /// Whether a published backend server takes new flows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BackendState {
-    /// It takes new flows.
+    /// The server takes new flows.
     Ready,
-    /// It will leave: it keeps its flows and takes no new one.
+    /// The server will stop: it keeps its flows and takes no new ones.
     Draining,
 }
 
 impl BackendState {
     const ALL: [Self; 2] = [Self::Ready, Self::Draining];
 
-    /// Returns the word for this state in published texts.
+    /// Returns the name of this state in published texts.
     fn as_str(self) -> &'static str {
         match self {
             Self::Ready => "ready",
@@ -46,19 +48,19 @@
     }
 }
 
-/// Why a published entry names no backend server to use.
+/// Why a published entry can't be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UnusableReason {
-    /// Its bytes can't be read, or its fields are missing or of another type.
+    /// The entry can't be decoded, or a field is missing or has the wrong type.
     Malformed,
-    /// It is in a state that this version does not know.
+    /// The backend server is in a state that this version does not know.
     UnknownState,
 }
 
 impl UnusableReason {
     const ALL: [Self; 2] = [Self::Malformed, Self::UnknownState];
 
-    /// Returns the word for this reason in published texts and log lines.
+    /// Returns the name of this reason in published texts and log lines.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::Malformed => "malformed",
@@ -72,25 +74,25 @@
     }
 }
 
-/// What a published value says of a backend server.
+/// The parsed entry of a backend server.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum BackendValue {
-    /// It is published.
+    /// The backend server is published.
     Published(Backend),
-    /// Something stands at its name which can't be used, as when another program wrote there.
+    /// The entry can't be used, for instance because another program overwrote it.
     ///
     /// It says nothing about flows that are open at the backend server.
     Unusable(UnusableReason),
-    /// It is no longer published.
+    /// The backend server is no longer published.
     Gone,
 }
 
 impl BackendValue {
-    /// Parses a published value.
+    /// Parses the text of an entry.
     ///
     /// # Errors
     ///
-    /// Returns code 2402 with the text at fault.
+    /// Returns code 2402 with the malformed text.
     pub fn parse(text: &str) -> Result<BackendValue> {
         if let Some(word) = text.strip_prefix(UNUSABLE_PREFIX) {
             let reason = UnusableReason::from_word(word);
@@ -112,28 +114,29 @@
 pub struct Backend {
     /// The service that it belongs to.
     pub service: ServiceId,
-    /// Where its agent reaches it.
+    /// The address at which its agent reaches it.
     pub address: SocketAddrV4,
     /// The availability zone of its host.
     pub zone: String,
-    /// How many requests it runs at once.
+    /// The number of requests that it runs at once.
     pub slots: u32,
     /// Whether it takes new flows.
     pub state: BackendState,
-    /// For how long it is still slow after its start, in milliseconds.
+    /// The remaining duration of its cold start, in milliseconds.
     pub cold_ms: u32,
-    /// When its process started, by its own clock in milliseconds of Unix time, where it tells that.
+    /// When its process started, in milliseconds of Unix time by its own clock, if it publishes
+    /// that.
     ///
-    /// A process that starts again under the id that it had holds nothing of before.
+    /// A process that restarts under the same id holds none of the flows that it had before.
     pub started_unix_ms: Option<u64>,
 }
 
 impl Backend {
-    /// Parses a published value; [`GONE_TEXT`] yields `None`.
+    /// Parses the text of an entry; [`GONE_TEXT`] yields `None`.
     ///
     /// # Errors
     ///
-    /// Returns code 2402 with the text at fault.
+    /// Returns code 2402 with the malformed text.
     pub fn parse(text: &str) -> Result<Option<Backend>> {
         if text == GONE_TEXT {
             return Ok(None);
@@ -167,21 +170,22 @@
     }
 }
 
-/// The fields of a published text, none of which has been checked.
+/// The fields of an entry, before they are checked.
 pub(crate) struct BackendFields<'a> {
     pub(crate) service: &'a str,
     pub(crate) address: &'a str,
     pub(crate) zone: &'a str,
     pub(crate) slots: &'a str,
     pub(crate) state: &'a str,
-    /// Absent where the server is not cold.
+    /// `None` if the server is not cold.
     pub(crate) cold_ms: Option<&'a str>,
-    /// Absent where the server does not tell it.
+    /// `None` if the server does not publish its start time.
     pub(crate) started_unix_ms: Option<&'a str>,
 }
 
 impl<'a> BackendFields<'a> {
-    /// Takes a text apart; `None` where it has too few or too many fields.
+    /// Splits a text into its fields; `None` if one is missing, an extra one has no name, or the
+    /// start time is given twice.
     pub(crate) fn parse(text: &'a str) -> Option<Self> {
         let fields: Vec<&str> = text.split(',').collect();
         let (&[service, address, zone, slots, state], rest) = fields.split_first_chunk()?;
@@ -189,7 +193,7 @@
             [cold_ms, rest @ ..] if !cold_ms.contains('=') => (Some(*cold_ms), rest),
             rest => (None, rest),
         };
-        // A field with a name that is not known here was added by a newer version, and is passed over.
+        // Named fields that are unknown here come from a newer version and are ignored.
         if rest.iter().any(|field| !field.contains('=')) {
             return None;
         }
@@ -224,21 +228,20 @@
     format!("{service},{address},{zone},{slots},{state}")
 }
 
-/// Returns the published text of a backend server that is still slow after its start; `text` is its text
-/// without that.
+/// Adds the remaining duration of the cold start to the published text of a backend server.
 pub fn cold_backend_text(text: &str, cold_ms: u32) -> String {
     format!("{text},{cold_ms}")
 }
 
-/// Returns the published text of a backend server that tells when its process started; `text` is its text
-/// without that.
+/// Adds the start time of the process to the published text of a backend server.
 pub fn started_backend_text(text: &str, started_unix_ms: u64) -> String {
     format!("{text},{STARTED_PREFIX}{started_unix_ms}")
 }
 
-/// Tells whether one published text says of a backend server what was so before the other.
+/// Returns whether `to` describes an earlier state of the backend server than `from`.
 ///
-/// Who has announced to leave does not return within its lifetime, and a lifetime does not come back.
+/// A draining server does not become ready again before its process restarts, and a process does
+/// not get an earlier start time.
 pub(crate) fn is_regression(from: &str, to: &str) -> bool {
     let (Ok(Some(from)), Ok(Some(to))) = (Backend::parse(from), Backend::parse(to)) else {
         return false;
@@ -249,7 +252,7 @@
     from.state == BackendState::Draining && to.state == BackendState::Ready
 }
 
-/// Returns the published text of an entry that names no backend server to use.
+/// Returns the published text of an unusable entry.
 pub fn unusable_text(reason: UnusableReason) -> String {
     format!("{UNUSABLE_PREFIX}{}", reason.as_str())
 }
--- a/src/config/config_store.rs
+++ b/src/config/config_store.rs
@@ -1,4 +1,4 @@
-//! The published values that a process holds, whose revisions only rise.
+//! The published values that a process holds; a value never goes back to an older state.
 
 use crate::code::Code;
 use crate::config::backend_entry::{self, BACKEND_PREFIX, BackendValue, GONE_TEXT};
@@ -21,70 +21,70 @@
 pub const HOSTS_NAME: &str = "hosts";
 /// The name of the key epochs among the published values.
 pub const KEYS_NAME: &str = "keys";
-/// What the name of a service's table starts with.
+/// The prefix of the name of a service's table; the service's name follows.
 pub const TABLE_PREFIX: &str = "table/";
 
-/// A value that is in force.
+/// A value in force.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredValue {
-    /// Its name.
+    /// The value's name.
     pub name: String,
-    /// Its revision; 0 before the first accepted one.
+    /// The revision in force; 0 before the first one is accepted.
     pub revision: Revision,
-    /// The version that its writer gave it, or 0.
+    /// The version that the value's writer gave it, or 0.
     pub version: u64,
-    /// Its text.
+    /// The text in force.
     pub text: String,
-    /// The revision before, from which most peers can be brought up by a delta.
+    /// The revision before, which most peers still hold and to which a delta can be made.
     pub previous_revision: Revision,
     previous_text: String,
     rejected: Option<Rejection>,
 }
 
-/// The newest revision of a value that was rejected whole.
+/// The newest rejected revision of a value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Rejection {
-    /// The revision that is not in force.
+    /// The rejected revision.
     pub revision: Revision,
-    /// Why.
+    /// Why it was rejected.
     pub error: Error,
 }
 
-/// A value on its way to a peer.
+/// A new state of a value, as it is sent to a peer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ValueUpdate {
     /// The value's name.
     pub name: String,
-    /// Which state it brings.
+    /// The version stamp of the new state.
     pub stamp: VersionStamp,
-    /// The revision against which the delta was made; 0 where it makes the whole text of nothing.
+    /// The revision to which the delta applies; 0 for a delta to the empty text.
     pub base: Revision,
-    /// The change.
+    /// The change of the text.
     pub delta: Delta,
 }
 
-/// The revisions of a process in short, by which two peers find out that they differ.
+/// A summary of all revisions of a process, by which two peers detect that they differ.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Digest {
     /// The highest revision in force.
     pub highest: Revision,
-    /// A hash over all names and revisions.
+    /// A hash of all names and revisions.
     pub hash: u64,
 }
 
-/// What became of an offered value.
+/// The result of offering a valid value to a [`ConfigStore`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AcceptOutcome {
-    /// It is in force now.
+    /// The value is in force now.
     Accepted,
-    /// An equal or newer state is in force; nothing changed.
+    /// Nothing changed: the state in force is the same or newer, or this one was rejected before.
     Stale,
 }
 
-/// All published values with their parsed forms.
+/// All published values and their parsed forms.
 ///
-/// Whether a text is accepted depends on that text alone, so that all hosts come to the same
-/// verdict in whatever order values arrive.
+/// Whether a text is accepted depends on that text alone, so that all hosts decide alike in
+/// whatever order values arrive.
 #[derive(Debug)]
 pub struct ConfigStore {
     cluster: ClusterKey,
@@ -93,7 +93,8 @@
     hosts: HostList,
     key_ring: KeyRing,
     digest: Digest,
-    /// The latest era that has settled: of later ones the platform may still show states from before it came back.
+    /// The latest settled era. In later eras the platform may still show states from before it was
+    /// restored.
     settled_era: u64,
 }
 
@@ -105,7 +106,7 @@
 }
 
 impl ConfigStore {
-    /// Makes an empty store.
+    /// Creates an empty store.
     pub fn new(cluster: &ClusterKey) -> Self {
         Self {
             cluster: cluster.clone(),
@@ -118,11 +119,11 @@
         }
     }
 
-    /// Takes a value if its state is after the one in force and its text is sound.
+    /// Puts a value into force if its state is newer than the one in force and its text is valid.
     ///
     /// # Errors
     ///
-    /// Returns the code of the first fault of the text; the value in force stays.
+    /// Returns the first error of the text; the value in force stays.
     pub fn accept(
         &mut self,
         name: &str,
@@ -154,11 +155,12 @@
         }
     }
 
-    /// Takes a value that a peer sent as a change.
+    /// Applies an update that a peer sent, as [`ConfigStore::accept`] does.
     ///
     /// # Errors
     ///
-    /// Returns code 2302 where the change does not fit, else as [`ConfigStore::accept`].
+    /// Returns code 2302 if the delta does not apply to the text held here, else as
+    /// [`ConfigStore::accept`].
     pub fn accept_update(&mut self, update: &ValueUpdate) -> Result<AcceptOutcome> {
         let held = self.get(&update.name);
         if held.is_some_and(|value| !value.is_new_state(update.stamp)) {
@@ -175,13 +177,15 @@
         self.accept(&update.name, update.stamp, &text)
     }
 
-    /// Returns the update that brings a peer that holds revision `have` to the one in force.
-    pub fn update_for(&self, name: &str, have: Revision) -> Option<ValueUpdate> {
+    /// Returns the update from the revision that a peer holds to the one in force.
+    ///
+    /// It is a delta if the peer holds the revision before, else the whole text.
+    pub fn update_for(&self, name: &str, peer_revision: Revision) -> Option<ValueUpdate> {
         let value = self
             .get(name)
             .filter(|value| value.revision > Revision::ZERO)?;
-        let known = have > Revision::ZERO && have == value.previous_revision;
-        let old = if known {
+        let is_delta = peer_revision > Revision::ZERO && peer_revision == value.previous_revision;
+        let old = if is_delta {
             value.previous_text.as_str()
         } else {
             ""
@@ -189,12 +193,16 @@
         Some(ValueUpdate {
             name: value.name.clone(),
             stamp: value.stamp(),
-            base: if known { have } else { Revision::ZERO },
+            base: if is_delta {
+                peer_revision
+            } else {
+                Revision::ZERO
+            },
             delta: Delta::between(old, &value.text),
         })
     }
 
-    /// Returns the names of values in force above `floor`, and their states.
+    /// Returns the names and version stamps of the values with a revision above `floor`.
     pub fn changes_since(&self, floor: Revision) -> Vec<(&str, VersionStamp)> {
         let newer = self.values.iter().filter(|value| value.revision > floor);
         newer
@@ -202,13 +210,13 @@
             .collect()
     }
 
-    /// Tells whether a state would be news: neither in force, nor older, nor rejected before.
+    /// Returns whether a state is newer than the one in force and was not rejected before.
     pub fn is_new_state(&self, name: &str, stamp: impl Into<VersionStamp>) -> bool {
         let stamp = stamp.into();
         self.get(name).is_none_or(|value| value.is_new_state(stamp))
     }
 
-    /// Returns the revision of a value in force, or 0.
+    /// Returns the revision in force of a value, or 0.
     pub fn revision(&self, name: &str) -> Revision {
         self.get(name)
             .map_or(Revision::ZERO, |value| value.revision)
@@ -219,7 +227,7 @@
         &self.values
     }
 
-    /// Returns the value with this name.
+    /// Returns the value called `name`.
     pub fn get(&self, name: &str) -> Option<&StoredValue> {
         let index = self
             .values
@@ -243,27 +251,29 @@
         &self.hosts
     }
 
-    /// Sets the host list where hosts are learnt one by one, as from published backend servers.
+    /// Sets the host list, where it is derived from published backend servers instead of being
+    /// published itself.
     pub(crate) fn set_hosts(&mut self, hosts: HostList) {
         self.hosts = hosts;
     }
 
-    /// Returns the keys that seal and open tokens.
+    /// Returns the keys that seal and open routing tokens and tickets.
     pub fn key_ring(&self) -> &KeyRing {
         &self.key_ring
     }
 
-    /// Returns the revisions in short.
+    /// Returns the digest of all revisions in force.
     pub fn digest(&self) -> Digest {
         self.digest
     }
 
-    /// Tells whether what the platform shows in an era was written, or left as it is, since that era began.
+    /// Returns whether an era has settled: what the platform shows in it was written, or kept,
+    /// since it began.
     pub fn is_era_settled(&self, era: u64) -> bool {
         era <= self.settled_era
     }
 
-    /// Notes that an era has settled.
+    /// Records that an era has settled.
     pub fn mark_era_settled(&mut self, era: u64) {
         self.settled_era = self.settled_era.max(era);
     }
@@ -360,9 +370,11 @@
         }
     }
 
-    /// Tells whether a text is that of an entry from before the platform came back, of which newer things are known.
+    /// Returns whether a backend server's entry of a later era shows an earlier state than the one
+    /// held here.
     ///
-    /// A backend server that has announced to leave would get new flows again by it.
+    /// A platform restored from an older copy shows such entries; taking one would send new flows
+    /// to a server that drains.
     fn is_entry_regression(&self, stamp: VersionStamp, text: &str) -> bool {
         let last = if self.text == GONE_TEXT {
             &self.previous_text
@@ -374,7 +386,7 @@
         is_entry && is_across_eras && backend_entry::is_regression(last, text)
     }
 
-    /// Returns where the state in force stands.
+    /// Returns the version stamp of the state in force.
     pub fn stamp(&self) -> VersionStamp {
         VersionStamp {
             revision: self.revision,
@@ -387,10 +399,10 @@
         self.rejected.as_ref()
     }
 
-    /// Tells whether a state is after the one in force and was not rejected already.
+    /// Returns whether a state is newer than the one in force and was not rejected before.
     ///
-    /// One below a rejected revision is news all the same: where the rejected one came first, the
-    /// sound one before it is what the other hosts have in force.
+    /// A state older than a rejected one still counts: if the rejected revision arrived first, the
+    /// valid one before it is what the other hosts have in force.
     fn is_new_state(&self, stamp: VersionStamp) -> bool {
         let rejected = self.rejected.as_ref().map(|rejection| rejection.revision);
         stamp.supersedes(self.stamp()) && rejected != Some(stamp.revision)
--- a/src/config/delta.rs
+++ b/src/config/delta.rs
@@ -1,24 +1,24 @@
-//! A published value as a change of lines, so that an edit of one row costs one row on the wire.
+//! Line-based deltas of published values, so that an edit of one row sends one row.
 
 use crate::code::Code;
 use crate::config::hash;
 use crate::error::{Error, Result};
 
-/// A change from one text to the next: lines kept at the start, lines removed, lines put in.
+/// A change of a text: one run of lines is replaced by another.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Delta {
-    /// How many lines at the start stay.
+    /// The number of unchanged lines at the start.
     pub kept_lines: u32,
-    /// How many lines after them go.
+    /// The number of lines removed after them.
     pub removed_lines: u32,
-    /// The lines that take their place, each with its line end.
+    /// The lines inserted in their place, with line ends.
     pub text: String,
-    /// The hash of the whole resulting text.
+    /// The hash of the whole new text.
     pub digest: u64,
 }
 
 impl Delta {
-    /// Returns the change that makes `new` of `old`.
+    /// Returns the delta from `old` to `new`.
     pub fn between(old: &str, new: &str) -> Delta {
         let old_lines: Vec<&str> = old.split_inclusive('\n').collect();
         let new_lines: Vec<&str> = new.split_inclusive('\n').collect();
@@ -37,11 +37,11 @@
         }
     }
 
-    /// Applies the change to `old`.
+    /// Applies the delta to `old`.
     ///
     /// # Errors
     ///
-    /// Returns code 2302 where the change was made against another text.
+    /// Returns code 2302 if the delta was made against another text.
     pub fn apply(&self, old: &str) -> Result<String> {
         let mismatch = || Error::new(Code::DeltaMismatch, "fetch the whole value");
         let lines: Vec<&str> = old.split_inclusive('\n').collect();
--- a/src/config/evacuation.rs
+++ b/src/config/evacuation.rs
@@ -1,26 +1,26 @@
-//! Availability zones that operators took out of service, as published.
+//! The published evacuations: availability zones that operators took out of service.
 
 use crate::config::backend_entry::GONE_TEXT;
 
-/// What the name of a published evacuation starts with; the availability zone follows.
+/// The prefix of the name of an evacuation; the availability zone follows.
 pub const EVACUATED_PREFIX: &str = "evacuated/";
 /// The text of an evacuation that is in force.
 ///
-/// Any text but that of a value which is gone counts, so that what a newer version may add to it empties
-/// the zone here too.
+/// Every text but [`GONE_TEXT`] evacuates the zone, so that a newer version can add to the text and
+/// this one still evacuates.
 pub const EVACUATED_TEXT: &str = "yes";
 
-/// What a published value says of an availability zone.
+/// The evacuation of an availability zone, as published.
 #[derive(Debug)]
 pub(crate) struct Evacuation<'a> {
     /// The availability zone.
     pub(crate) zone: &'a str,
-    /// Whether its evacuation is in force.
+    /// Whether the evacuation is in force.
     pub(crate) is_in_force: bool,
 }
 
 impl<'a> Evacuation<'a> {
-    /// Reads a published value; `None` where its name is that of another kind of value.
+    /// Parses a published value; `None` if its name is not that of an evacuation.
     pub(crate) fn parse(name: &'a str, text: &str) -> Option<Self> {
         let zone = name.strip_prefix(EVACUATED_PREFIX)?;
         Some(Self {
--- a/src/config/hosts.rs
+++ b/src/config/hosts.rs
@@ -1,4 +1,4 @@
-//! The platform's list of hosts, which lags behind the truth.
+//! The platform's list of hosts, which lags behind the actual state of the hosts.
 
 use std::net::Ipv4Addr;
 
@@ -11,7 +11,7 @@
 /// The first line of the host list.
 pub const HOSTS_HEADER: &str = "host,zone,role,state";
 
-/// What runs on a host.
+/// The role of a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum HostRole {
@@ -21,26 +21,26 @@
     Backend,
 }
 
-/// Whether the platform believes that a host stays.
+/// Whether the platform keeps a host in service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum HostState {
-    /// In service.
+    /// The host is in service.
     Live,
-    /// Still up, but being taken out of service.
+    /// The host is up, but is being taken out of service.
     Leaving,
 }
 
-/// One host of the list.
+/// A host of the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Host {
-    /// The host's address, which is also its name.
+    /// The address, which identifies the host.
     pub address: Ipv4Addr,
     /// The availability zone.
     pub zone: String,
-    /// What runs there.
+    /// What runs on the host.
     pub role: HostRole,
-    /// Whether it stays.
+    /// Whether the host stays in service.
     pub state: HostState,
 }
 
@@ -55,7 +55,7 @@
     ///
     /// # Errors
     ///
-    /// Returns code 2101 with the line at fault.
+    /// Returns code 2101 with the malformed line or the duplicate host.
     pub fn parse(text: &str) -> Result<HostList> {
         let mut lines = text.lines().enumerate();
         match lines.next() {
@@ -67,13 +67,13 @@
         let mut hosts = hosts.collect::<Result<Vec<Host>>>()?;
         hosts.sort_by_key(|host| host.address);
         if let Some(pair) = hosts.windows(2).find(|w| w[0].address == w[1].address) {
-            let message = format!("host {} stands twice", pair[0].address);
+            let message = format!("host {} is listed twice", pair[0].address);
             return Err(Error::new(Code::HostsSyntax, message));
         }
         Ok(HostList { hosts })
     }
 
-    /// Makes a list of hosts that were learnt one by one; of one address, the first is kept.
+    /// Creates a list from single hosts; of several with one address, the first is kept.
     pub(crate) fn from_hosts(mut hosts: Vec<Host>) -> HostList {
         hosts.sort_by_key(|host| host.address);
         hosts.dedup_by_key(|host| host.address);
@@ -85,7 +85,7 @@
         &self.hosts
     }
 
-    /// Returns the host at this address, if the platform knows it.
+    /// Returns the host with this address.
     pub fn get(&self, address: Ipv4Addr) -> Option<&Host> {
         let index = self
             .hosts
@@ -93,7 +93,7 @@
         index.ok().map(|index| &self.hosts[index])
     }
 
-    /// Returns the hosts in this role, leaving ones too, since they still run.
+    /// Returns the hosts with this role, including leaving ones, which still run.
     pub fn with_role(&self, role: HostRole) -> impl Iterator<Item = &Host> {
         self.hosts.iter().filter(move |host| host.role == role)
     }
--- a/src/config/incoming_value.rs
+++ b/src/config/incoming_value.rs
@@ -1,14 +1,14 @@
-//! One state of a published value, as a read of the platform offers it.
+//! A value as it was read from the platform, before it is accepted.
 
 use crate::config::version_stamp::VersionStamp;
 
-/// A state of a value that may come into force.
+/// A state of a value that may be put into force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct IncomingValue<'a> {
     /// The value's name.
     pub name: &'a str,
-    /// Where the state stands among all that the value had.
+    /// The version stamp of the state.
     pub stamp: VersionStamp,
-    /// Its text.
+    /// The text of the state.
     pub text: &'a str,
 }
--- a/src/config/keys.rs
+++ b/src/config/keys.rs
@@ -1,4 +1,4 @@
-//! Keys derived from the cluster key of the settings and the epochs that the platform publishes.
+//! Keys derived from the cluster key in the settings and the epochs that the platform publishes.
 
 use aes::Aes128;
 use aes::cipher::KeyInit;
@@ -12,7 +12,7 @@
 /// The first line of the published `keys` value.
 pub const KEYS_HEADER: &str = "epoch,salt,state";
 
-/// The secret that all hosts share through their settings.
+/// The secret that all hosts share, from the settings.
 #[derive(Clone, PartialEq, Eq)]
 pub struct ClusterKey([u8; CLUSTER_KEY_BYTES]);
 
@@ -23,12 +23,12 @@
 }
 
 impl ClusterKey {
-    /// Takes the key from its bytes.
+    /// Creates the key from its bytes.
     pub fn new(bytes: [u8; CLUSTER_KEY_BYTES]) -> Self {
         Self(bytes)
     }
 
-    /// Derives a key for one purpose, so that no two purposes share one.
+    /// Derives the key for one purpose, so that no two purposes share a key.
     pub(crate) fn derive(&self, purpose: &str, salt: &str) -> [u8; 32] {
         let key = hmac::Key::new(hmac::HMAC_SHA256, &self.0);
         let mut context = hmac::Context::with_key(&key);
@@ -40,19 +40,21 @@
         derived
     }
 
+    /// Derives a key of 16 bytes, as AES-128 takes.
     pub(crate) fn derive_short(&self, purpose: &str, salt: &str) -> [u8; 16] {
         let mut short = [0; 16];
         short.copy_from_slice(&self.derive(purpose, salt)[..16]);
         short
     }
 
-    /// Returns the key with which every process signs a stateless reset for the same flow.
+    /// Returns the key that signs stateless resets, the same in every process so that any can reset
+    /// a flow.
     pub(crate) fn reset_key(&self) -> hmac::Key {
         hmac::Key::new(hmac::HMAC_SHA256, &self.derive("stateless reset", ""))
     }
 }
 
-/// The ciphers of one epoch.
+/// The keys of one epoch.
 #[derive(Clone)]
 pub(crate) struct EpochKeys {
     pub(crate) epoch: u8,
@@ -60,14 +62,14 @@
     pub(crate) ticket: Aes128,
 }
 
-/// All epochs that still open tokens, and the one that seals new ones.
+/// The keys of all epochs: one seals new tokens and tickets, all open existing ones.
 ///
 /// A rotation publishes the new epoch as `open` first, then as `seal`, and removes the old one when
 /// its flows have ended; see docs/OPERATORS.md, "Rotate the token keys".
 #[derive(Clone)]
 pub struct KeyRing {
     epochs: Vec<EpochKeys>,
-    sealing: usize,
+    sealing_index: usize,
 }
 
 impl std::fmt::Debug for KeyRing {
@@ -76,25 +78,25 @@
         write!(
             formatter,
             "KeyRing({epochs:?}, seals with {})",
-            self.sealing().epoch
+            self.sealing_keys().epoch
         )
     }
 }
 
 impl KeyRing {
-    /// Makes the ring that holds before the platform has published any epoch.
+    /// Creates the key ring that is used until the platform has published an epoch.
     pub fn initial(cluster: &ClusterKey) -> Self {
         Self {
             epochs: vec![epoch_keys(cluster, 0, "")],
-            sealing: 0,
+            sealing_index: 0,
         }
     }
 
-    /// Makes the ring from the published value.
+    /// Creates the key ring from the published epochs.
     ///
     /// # Errors
     ///
-    /// Returns code 2201 with the line at fault.
+    /// Returns code 2201 with what is malformed.
     pub fn parse(cluster: &ClusterKey, text: &str) -> Result<Self> {
         let mut lines = text.lines();
         if lines.next() != Some(KEYS_HEADER) {
@@ -111,21 +113,26 @@
         }
         epochs.sort_by_key(|keys| keys.epoch);
         let distinct = epochs.windows(2).all(|pair| pair[0].epoch != pair[1].epoch);
-        let &[sealing] = sealing_epochs.as_slice() else {
-            let message = format!("{} epochs in state seal", sealing_epochs.len());
+        let &[sealing_epoch] = sealing_epochs.as_slice() else {
+            let message = format!("{} epochs in state seal instead of 1", sealing_epochs.len());
             return Err(Error::new(Code::KeysSyntax, message));
         };
         if !distinct {
-            return Err(Error::new(Code::KeysSyntax, "an epoch stands twice"));
+            return Err(Error::new(Code::KeysSyntax, "an epoch is listed twice"));
         }
-        let sealing = epochs.partition_point(|keys| keys.epoch < sealing);
-        Ok(Self { epochs, sealing })
+        let sealing_index = epochs.partition_point(|keys| keys.epoch < sealing_epoch);
+        Ok(Self {
+            epochs,
+            sealing_index,
+        })
     }
 
-    pub(crate) fn sealing(&self) -> &EpochKeys {
-        &self.epochs[self.sealing]
+    /// Returns the keys that seal new tokens and tickets.
+    pub(crate) fn sealing_keys(&self) -> &EpochKeys {
+        &self.epochs[self.sealing_index]
     }
 
+    /// Returns the keys of an epoch that is still published.
     pub(crate) fn get(&self, epoch: u8) -> Option<&EpochKeys> {
         let index = self.epochs.binary_search_by_key(&epoch, |keys| keys.epoch);
         index.ok().map(|index| &self.epochs[index])
--- a/src/config/membership.rs
+++ b/src/config/membership.rs
@@ -1,25 +1,30 @@
-//! Who reads the platform and who tells whom: pure functions of the host list.
+//! Selects the processes that read the platform and the peers of each process, from the host list
+//! alone.
 //!
-//! Each process works these out alone, from a list that may lag. Two that disagree cost a few reads
-//! or messages more, never correctness. See docs/DESIGN.md, "Configuration".
+//! Each process computes this by itself, from a list that may lag. Processes that disagree cause a
+//! few extra reads or messages, but no wrong values. See docs/DESIGN.md, "Configuration".
 
 use std::net::Ipv4Addr;
 
 use crate::config::hash;
 use crate::config::hosts::{Host, HostList};
 
-/// How many processes of an availability zone watch the platform.
+/// The number of processes in each availability zone that watch the platform.
 pub const READERS_PER_ZONE: usize = 3;
-/// To how many peers a process tells a change, and with how many it compares revisions.
+/// The number of peers to which a process pushes changes and with which it compares revisions.
 pub const PEERS_PER_PROCESS: usize = 6;
-/// How many of them are of its own availability zone, so that a cut between zones or regions leaves
-/// no process without a peer that some reader of its zone reaches.
-const NEAR_LINKS: usize = 3;
+/// The number of peers in the process's own availability zone, so that a network partition between
+/// zones or regions leaves no process without a path to a reader of its zone.
+const PEERS_IN_ZONE: usize = 3;
 
 const READER_SALT: u64 = 0x7265_6164;
 
-/// Returns the `count` hosts with the greatest hash for `salt`, best first.
-fn ranked<'a>(hosts: impl Iterator<Item = &'a Host>, salt: u64, count: usize) -> Vec<Ipv4Addr> {
+/// Returns the first `count` hosts in the pseudorandom order that `salt` determines.
+fn first_ranked<'a>(
+    hosts: impl Iterator<Item = &'a Host>,
+    salt: u64,
+    count: usize,
+) -> Vec<Ipv4Addr> {
     let rank = |address: Ipv4Addr| std::cmp::Reverse(hash::host_rank(salt, address));
     let mut addresses: Vec<Ipv4Addr> = hosts.map(|host| host.address).collect();
     if addresses.len() > count && count > 0 {
@@ -30,36 +35,37 @@
     addresses
 }
 
-/// Returns the readers of a zone among the hosts that `trusted` lets pass.
+/// Returns the readers of an availability zone, chosen among the hosts that `is_trusted` accepts.
 pub fn select_readers(
     hosts: &HostList,
     zone: &str,
-    trusted: impl Fn(Ipv4Addr) -> bool,
+    is_trusted: impl Fn(Ipv4Addr) -> bool,
 ) -> Vec<Ipv4Addr> {
     let of_zone = hosts.all().iter().filter(|host| host.zone == zone);
-    let eligible = of_zone.filter(|host| trusted(host.address));
-    ranked(eligible, READER_SALT, READERS_PER_ZONE)
+    let eligible = of_zone.filter(|host| is_trusted(host.address));
+    first_ranked(eligible, READER_SALT, READERS_PER_ZONE)
 }
 
-/// Returns the peers to which the process on `me` keeps a control link.
+/// Returns the peers of the process on `own_host`, chosen among the hosts that `is_trusted`
+/// accepts.
 ///
-/// The choice is stable while the list is, so that links stay open; together the links of all
-/// processes form a random graph, which stays connected when many hosts are gone.
+/// The choice changes only with the list, so that links stay open. Together the links of all
+/// processes form a random graph, which stays connected when many hosts fail.
 pub fn select_peers(
     hosts: &HostList,
-    me: Ipv4Addr,
-    trusted: impl Fn(Ipv4Addr) -> bool,
+    own_host: Ipv4Addr,
+    is_trusted: impl Fn(Ipv4Addr) -> bool,
 ) -> Vec<Ipv4Addr> {
-    let others = || hosts.all().iter().filter(|host| host.address != me);
-    let eligible = || others().filter(|host| trusted(host.address));
-    let zone = hosts.get(me).map(|host| host.zone.as_str());
+    let others = || hosts.all().iter().filter(|host| host.address != own_host);
+    let eligible = || others().filter(|host| is_trusted(host.address));
+    let zone = hosts.get(own_host).map(|host| host.zone.as_str());
     let near = eligible().filter(|host| Some(host.zone.as_str()) == zone);
-    let mut links = ranked(near, hash::host_hash(me), NEAR_LINKS);
-    let far = eligible().filter(|host| !links.contains(&host.address));
-    links.extend(ranked(
+    let mut peers = first_ranked(near, hash::host_hash(own_host), PEERS_IN_ZONE);
+    let far = eligible().filter(|host| !peers.contains(&host.address));
+    peers.extend(first_ranked(
         far,
-        hash::host_hash(me),
-        PEERS_PER_PROCESS - links.len(),
+        hash::host_hash(own_host),
+        PEERS_PER_PROCESS - peers.len(),
     ));
-    links
+    peers
 }
--- a/src/config/mod.rs
+++ b/src/config/mod.rs
@@ -1,9 +1,9 @@
-//! What is published, as values: tables, hosts, keys, routes, entries of backend servers, settings, and
-//! the ids and hashes by which they are named.
+//! Published values (tables, hosts, keys, routes, entries of backend servers), settings, and the
+//! ids and hashes that identify them.
 //!
-//! The rule that lives here: a value that is unsound is refused whole, with its line and number, and no
-//! value goes back to an older revision ([`config_store`]). Nothing else keeps state; only `process`
-//! is used.
+//! An invalid value is rejected as a whole, with its line and code, and no value goes back to an
+//! older state. [`config_store`] is the only module here that keeps state. Of the other folders,
+//! only `process` is used.
 
 pub(crate) mod backend_entry;
 pub(crate) mod cold_starts;
--- a/src/config/route_diff.rs
+++ b/src/config/route_diff.rs
@@ -1,4 +1,5 @@
-//! What an edit of the published routes will do: to shares of new flows and to open flows.
+//! Compares two versions of the published routes: how shares change, and what happens to new and
+//! open flows.
 
 use std::net::SocketAddrV4;
 
@@ -6,7 +7,7 @@
 use crate::config::service_id::ServiceId;
 use crate::error::Result;
 
-/// What an edit does to one service's part of a route.
+/// The change of one service's share of a route.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RouteChange {
     /// The address that callers call.
@@ -15,32 +16,33 @@
     pub service: String,
     /// Its share of the address's new flows before and after, from 0 to 1.
     pub share: (f64, f64),
-    /// What follows.
+    /// What the change does to flows and requests.
     pub effect: &'static str,
 }
 
-/// Compares two versions of the published routes; changes stand in order of addresses and names.
+/// Compares two versions of the published routes; returns the changes in order of address and
+/// service name.
 ///
 /// # Errors
 ///
-/// Returns code 2401 with the line at fault.
+/// Returns code 2401 with the malformed line or the duplicate address.
 pub fn route_changes(old: &str, new: &str) -> Result<Vec<RouteChange>> {
     let old = parse_route_rows(old)?;
     let before = RouteTable::from_rows(&old)?;
     let new = parse_route_rows(new)?;
     let after = RouteTable::from_rows(&new)?;
     let rows = old.iter().chain(&new);
-    let mut parts: Vec<_> = rows.map(|row| (row.address, row.service)).collect();
-    parts.sort_unstable();
-    parts.dedup();
-    let changes = parts.into_iter().filter_map(|(address, service)| {
-        let pair = (before.get(address), after.get(address));
-        change(address, service, pair)
+    let mut shares: Vec<_> = rows.map(|row| (row.address, row.service)).collect();
+    shares.sort_unstable();
+    shares.dedup();
+    let changes = shares.into_iter().filter_map(|(address, service)| {
+        let routes = (before.get(address), after.get(address));
+        route_change(address, service, routes)
     });
     Ok(changes.collect())
 }
 
-fn change(
+fn route_change(
     address: SocketAddrV4,
     service: &str,
     (before, after): (Option<&Route>, Option<&Route>),
@@ -69,7 +71,7 @@
         });
     };
     if !after.takes_flows() {
-        return Some("nobody takes new flows: callers wait in vain; open flows stay");
+        return Some("nobody takes new flows: new callers get no answer; open flows stay");
     }
     if new_share <= 0.0 && old_share > 0.0 {
         return Some("takes no new flow; open flows stay");
@@ -78,16 +80,16 @@
         return Some("open flows stay; new ones follow the new share");
     }
     if after.priority < before.priority {
-        return Some("becomes more urgent: finds room before what is less so");
+        return Some("becomes more urgent: gets room before less urgent addresses");
     }
     if after.priority > before.priority {
-        return Some("becomes less urgent: leaves room to what is more so");
+        return Some("becomes less urgent: leaves room to more urgent addresses");
     }
     if before.repeatable && !after.repeatable {
-        return Some("may not run twice from now on: failing servers are not tried with it");
+        return Some("may not run twice from now on: no longer used to probe failing servers");
     }
     if !before.repeatable && after.repeatable {
-        return Some("may run twice from now on: failing servers are tried with it now and then");
+        return Some("may run twice from now on: sometimes used to probe failing servers");
     }
     None
 }
--- a/src/config/route_table.rs
+++ b/src/config/route_table.rs
@@ -1,4 +1,4 @@
-//! Which service takes the flows that callers open to an address.
+//! The published routes: which services take the flows that callers open to an address.
 
 use std::net::SocketAddrV4;
 
@@ -12,36 +12,36 @@
 /// The first line of the published routes.
 pub const ROUTES_HEADER: &str = "address,service,weight,priority,repeatable";
 
-/// A salt that keeps the choice of a service independent of the choice of its target.
+/// The salt that keeps the choice of a service independent of the choice of its target.
 const SPLIT_SALT: u64 = 0x7370_6c69;
 
-/// One service that takes a part of a route's new flows.
+/// A service's share of the new flows of a route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RouteShare {
     /// The service.
     pub service: ServiceId,
-    /// Its part, relative to the other shares of the route.
+    /// The weight of this share, relative to the other shares of the route.
     pub weight: u32,
 }
 
-/// An address that callers may call, and who takes its new flows.
+/// An address that callers may call, and the services that take its new flows.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Route {
     /// The address and port that callers call.
     pub address: SocketAddrV4,
-    /// The services, in order of their ids.
+    /// The shares, in order of their service ids.
     pub shares: Vec<RouteShare>,
-    /// How urgent its requests are; 0 is served first.
+    /// The priority of its requests; 0 is the most urgent.
     pub priority: u8,
-    /// Whether its requests may run more than once, so that callers send them again after any failure.
+    /// Whether its requests may run more than once, so that callers may retry after any failure.
     pub repeatable: bool,
 }
 
 impl Route {
-    /// Draws the service of a new flow, in proportion to the weights.
+    /// Selects the service of a new flow by its hash, in proportion to the weights.
     ///
-    /// Every process that holds the same table draws the same one, so that the copies of an opener
-    /// reach one service.
+    /// Every process that holds the same routes selects the same one, so that all copies of an
+    /// opener reach one service.
     pub fn select_service(&self, flow_hash: u64) -> Option<ServiceId> {
         let total: u64 = self
             .shares
@@ -59,7 +59,7 @@
         None
     }
 
-    /// Returns the part of the new flows that a service takes, from 0 to 1.
+    /// Returns the share of the new flows that a service takes, from 0 to 1.
     pub fn share(&self, service: ServiceId) -> f64 {
         let weight = |share: &RouteShare| u64::from(share.weight);
         let own = self.shares.iter().filter(|share| share.service == service);
@@ -67,13 +67,13 @@
         own.map(weight).sum::<u64>() as f64 / total.max(1) as f64
     }
 
-    /// Tells whether any service takes new flows.
+    /// Returns whether any service takes new flows.
     pub fn takes_flows(&self) -> bool {
         self.shares.iter().any(|share| share.weight > 0)
     }
 
-    /// Tells whether a service takes a part of this route.
-    fn has(&self, service: ServiceId) -> bool {
+    /// Returns whether a service takes new flows of this route.
+    fn is_served_by(&self, service: ServiceId) -> bool {
         let mut shares = self.shares.iter();
         shares.any(|share| share.service == service && share.weight > 0)
     }
@@ -90,16 +90,16 @@
     ///
     /// # Errors
     ///
-    /// Returns code 2401 with the line at fault.
+    /// Returns code 2401 with the malformed line or the duplicate address.
     pub fn parse(text: &str) -> Result<RouteTable> {
         RouteTable::from_rows(&parse_route_rows(text)?)
     }
 
-    /// Gathers rows by their addresses.
+    /// Groups rows by address.
     ///
     /// # Errors
     ///
-    /// Returns code 2401 where the rows of an address do not stand together.
+    /// Returns code 2401 if the rows of an address are not adjacent.
     pub(crate) fn from_rows(rows: &[RouteRow<'_>]) -> Result<RouteTable> {
         let mut routes: Vec<Route> = Vec::new();
         for row in rows {
@@ -119,7 +119,7 @@
         }
         routes.sort_by_key(|route| route.address);
         if let Some(pair) = routes.windows(2).find(|w| w[0].address == w[1].address) {
-            let message = format!("address {} stands twice", pair[0].address);
+            let message = format!("the rows of address {} are not adjacent", pair[0].address);
             return Err(Error::new(Code::RoutesSyntax, message));
         }
         for route in &mut routes {
@@ -136,17 +136,20 @@
         index.ok().map(|index| &self.routes[index])
     }
 
-    /// Tells whether another route to a service has requests that are less urgent than those of `route`.
+    /// Returns whether the service also takes flows of a less urgent route than `route`.
     pub fn is_urgent(&self, route: &Route, service: ServiceId) -> bool {
-        let less_urgent = |other: &Route| other.priority > route.priority && other.has(service);
-        self.routes.iter().any(less_urgent)
+        let is_less_urgent =
+            |other: &Route| other.priority > route.priority && other.is_served_by(service);
+        self.routes.iter().any(is_less_urgent)
     }
 
-    /// Tells whether a request to `called` may be risked to see whether a backend server of a service works
-    /// again: if it may run twice, or if no request to that service may.
+    /// Returns whether a request to `called` may probe a failing or stalled backend server of a
+    /// service.
+    ///
+    /// It may if it can run more than once, or if no request to that service can.
     pub fn may_probe(&self, called: SocketAddrV4, service: ServiceId) -> bool {
-        let repeatable = |route: &Route| route.repeatable && route.has(service);
-        self.get(called).is_some_and(repeatable) || !self.routes.iter().any(repeatable)
+        let is_repeatable = |route: &Route| route.repeatable && route.is_served_by(service);
+        self.get(called).is_some_and(is_repeatable) || !self.routes.iter().any(is_repeatable)
     }
 
     /// Returns all routes in order of their addresses.
@@ -159,22 +162,22 @@
     Error::new(Code::RoutesSyntax, format!("line {}: {line:?}", index + 1))
 }
 
-/// One row of the published routes: an address with one of its services.
+/// A row of the published routes: an address and one of its services.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct RouteRow<'a> {
     pub(crate) address: SocketAddrV4,
-    /// The service's name; a [`RouteTable`] keeps its id only.
+    /// The service's name, of which a [`RouteTable`] keeps only the id.
     pub(crate) service: &'a str,
     weight: u32,
     priority: u8,
     repeatable: bool,
 }
 
-/// Parses the published routes row by row.
+/// Parses the rows of the published routes.
 ///
 /// # Errors
 ///
-/// Returns code 2401 with the line at fault.
+/// Returns code 2401 with the malformed line.
 pub(crate) fn parse_route_rows(text: &str) -> Result<Vec<RouteRow<'_>>> {
     let mut lines = text.lines().enumerate();
     match lines.next() {
--- a/src/config/service_id.rs
+++ b/src/config/service_id.rs
@@ -1,4 +1,4 @@
-//! The number by which packets and peers name a service.
+//! The id by which packets and peers name a service.
 
 use std::fmt;
 
@@ -6,9 +6,9 @@
 
 /// A 32-bit hash of the service's name.
 ///
-/// It rides in routing tokens and envelopes, so that a packet of one service is told apart from
-/// another's without the table; see docs/DESIGN.md, "Routing token". Two names with the same hash
-/// are rejected when the second one is published.
+/// Routing tokens and envelopes carry it, so that a packet's service is known without the table;
+/// see docs/DESIGN.md, "Routing token". Two services whose names have the same hash can't be told
+/// apart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ServiceId(pub u32);
 
--- a/src/config/settings.rs
+++ b/src/config/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a process: an INI file whose every key is known and checked.
+//! The settings of a process: an INI file in which every key must be known and valid.
 
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
 use std::path::{Path, PathBuf};
@@ -10,7 +10,7 @@
 use crate::config::table;
 use crate::error::{Error, Result};
 
-/// All sections and keys that a settings file may have; see docs/OPERATORS.md, "Settings".
+/// All sections and keys of a settings file; see docs/OPERATORS.md, "Settings".
 const KNOWN_KEYS: &[(&str, &str)] = &[
     ("agent", "certificate_file"),
     ("agent", "drain_limit_s"),
@@ -35,62 +35,67 @@
     ("process", "zone"),
 ];
 
-/// The checked settings of a daemon or of the operators' client.
+/// The settings of a daemon or of the operators' client.
 #[derive(Debug, Clone)]
 pub struct Settings {
     /// The address of the host on which the process runs.
     pub host: Ipv4Addr,
     /// The availability zone of that host.
     pub zone: String,
-    /// The TCP port of control links, the same on all hosts.
+    /// The TCP port for control links, the same on all hosts.
     pub control_port: u16,
-    /// The UDP port of envelopes, the same on all hosts.
+    /// The UDP port for envelopes, the same on all hosts.
     pub datagram_port: u16,
-    /// The TCP port of `/metrics`.
+    /// The TCP port for `/metrics`.
     pub metrics_port: u16,
-    /// Where a balancer binds the services' ports, if not at the services' own addresses.
+    /// The address at which a balancer binds the services' ports, if not the services' own
+    /// addresses.
     pub bind_ip: Option<Ipv4Addr>,
     /// The secret that all hosts share.
     pub cluster_key: ClusterKey,
-    /// The address of the configuration service.
+    /// The address of the platform's configuration service.
     pub platform: SocketAddr,
-    /// Peers to ask while the configuration service is silent.
+    /// The peers to ask before a host list is known, while the configuration service does not
+    /// answer.
     pub seeds: Vec<Ipv4Addr>,
-    /// The certificate chain that an agent shows to callers, as a PEM file.
+    /// The certificate chain that an agent presents to callers, as a PEM file.
     pub certificate_file: Option<PathBuf>,
     /// The certificate's private key, as a PEM file.
     pub key_file: Option<PathBuf>,
-    /// For how long a leaving agent waits for its flows to end, in seconds.
+    /// The longest time that a leaving agent waits for its flows to end, in seconds.
     pub drain_limit_s: u64,
-    /// What flows of opaque packets need beside the rest.
+    /// The settings for flows of opaque packets.
     pub opaque: OpaqueSettings,
-    /// The least level of log lines.
+    /// The lowest level of log lines that are written.
     pub log_level: log::LevelFilter,
-    /// The file of log lines; standard error where absent.
+    /// The log file; standard error if `None`.
     pub log_file: Option<PathBuf>,
 }
 
 /// The settings of the section `opaque`.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct OpaqueSettings {
-    /// Where a balancer receives the packets of callers; answers go to the same port of theirs.
+    /// The address at which a balancer receives callers' packets; answers go to the same port of
+    /// the callers.
     pub listen: Option<SocketAddr>,
-    /// Where the platform asks whether this process takes traffic.
+    /// The address of the readiness probe, at which the platform asks whether this process takes
+    /// traffic.
     pub ready: Option<SocketAddr>,
-    /// Where an agent's backend server takes packets.
+    /// The address at which an agent's backend server receives packets.
     pub backend: Option<SocketAddrV4>,
-    /// Where that backend server sends its packets.
+    /// The address to which that backend server sends its packets.
     pub outbound: Option<SocketAddrV4>,
-    /// The service for which that backend server was set up.
+    /// The service of that backend server.
     pub service: Option<String>,
-    /// The longest life of a flow, after which what is known of it may be forgotten, in seconds.
+    /// The longest lifetime of a flow, in seconds; its state may be dropped afterwards.
     pub flow_lifetime_s: u64,
-    /// Whether the whole site starts for the first time, so that no flow is older than this process.
+    /// Whether the whole site starts for the first time, so that no flow is older than this
+    /// process.
     pub fresh_site: bool,
 }
 
 impl OpaqueSettings {
-    /// Returns the longest life of a flow in milliseconds.
+    /// Returns the longest lifetime of a flow in milliseconds.
     pub(crate) fn flow_lifetime_ms(&self) -> u64 {
         const MS_PER_S: u64 = 1_000;
         self.flow_lifetime_s * MS_PER_S
@@ -102,14 +107,15 @@
     ///
     /// # Errors
     ///
-    /// Returns code 5001 for an unreadable file and 3001 to 3004 for its contents.
+    /// Returns code 5001 if the file can't be read, and 3001 to 3004 if its contents are invalid.
     pub fn load(path: &Path) -> Result<Settings> {
         let text = std::fs::read_to_string(path)
             .map_err(|error| Error::new(Code::Io, format!("{}: {error}", path.display())))?;
         Settings::parse(&text)
     }
 
-    /// Tells whether other settings than the level of log lines differ from those of `new`.
+    /// Returns whether the host, zone, platform, ports or `opaque` settings changed, which only a
+    /// restart applies.
     pub(crate) fn needs_restart(&self, new: &Settings) -> bool {
         let identity = |settings: &Settings| {
             (
@@ -125,7 +131,7 @@
         identity(self) != identity(new)
     }
 
-    /// Checks the text of a settings file.
+    /// Parses and checks the text of a settings file.
     ///
     /// # Errors
     ///
@@ -133,34 +139,35 @@
     pub fn parse(text: &str) -> Result<Settings> {
         let ini = Ini::load_from_str(text)
             .map_err(|error| Error::new(Code::SettingsSyntax, error.to_string()))?;
-        let view = View { ini: &ini, text };
-        view.check_known()?;
+        let reader = SettingsReader { ini: &ini, text };
+        reader.check_known()?;
         Ok(Settings {
-            host: view.required("process", "host", "an IPv4 address")?,
-            zone: view.zone()?,
-            control_port: view.port("control_port", 4700)?,
-            datagram_port: view.port("datagram_port", 4701)?,
-            metrics_port: view.port("metrics_port", 4702)?,
-            bind_ip: view.optional("balancer", "bind_ip", "an IPv4 address")?,
-            cluster_key: view.cluster_key()?,
-            platform: view.required("platform", "address", "IP:PORT")?,
-            seeds: view.seeds()?,
-            certificate_file: view.optional("agent", "certificate_file", "a path")?,
-            key_file: view.optional("agent", "key_file", "a path")?,
-            drain_limit_s: view.number("agent", "drain_limit_s", 43_200, 1..=604_800)?,
-            opaque: view.opaque()?,
-            log_level: view.log_level()?,
-            log_file: view.optional("log", "file", "a path")?,
+            host: reader.required("process", "host", "an IPv4 address")?,
+            zone: reader.zone()?,
+            control_port: reader.port("control_port", 4700)?,
+            datagram_port: reader.port("datagram_port", 4701)?,
+            metrics_port: reader.port("metrics_port", 4702)?,
+            bind_ip: reader.optional("balancer", "bind_ip", "an IPv4 address")?,
+            cluster_key: reader.cluster_key()?,
+            platform: reader.required("platform", "address", "IP:PORT")?,
+            seeds: reader.seeds()?,
+            certificate_file: reader.optional("agent", "certificate_file", "a path")?,
+            key_file: reader.optional("agent", "key_file", "a path")?,
+            drain_limit_s: reader.number("agent", "drain_limit_s", 43_200, 1..=604_800)?,
+            opaque: reader.opaque()?,
+            log_level: reader.log_level()?,
+            log_file: reader.optional("log", "file", "a path")?,
         })
     }
 }
 
-struct View<'a> {
+/// Reads typed values from a settings file.
+struct SettingsReader<'a> {
     ini: &'a Ini,
     text: &'a str,
 }
 
-impl View<'_> {
+impl SettingsReader<'_> {
     fn get(&self, section: &str, key: &str) -> Option<&str> {
         self.ini.get_from(Some(section), key)
     }
@@ -170,7 +177,7 @@
             for (key, _) in properties.iter() {
                 let section = section.unwrap_or("");
                 if !KNOWN_KEYS.contains(&(section, key)) {
-                    let message = format!("{}: [{section}] {key}", self.place(section, key));
+                    let message = format!("{}: [{section}] {key}", self.line_of(section, key));
                     return Err(Error::new(Code::SettingsUnknown, message));
                 }
             }
@@ -178,8 +185,8 @@
         Ok(())
     }
 
-    /// Names the line of a key, which the INI library does not keep.
-    fn place(&self, section: &str, key: &str) -> String {
+    /// Returns the line of a key as text, since the INI library does not keep line numbers.
+    fn line_of(&self, section: &str, key: &str) -> String {
         let mut current = "";
         for (index, line) in self.text.lines().enumerate() {
             let line = line.trim();
@@ -194,15 +201,16 @@
         "no line".to_owned()
     }
 
-    fn invalid(&self, section: &str, key: &str, wanted: &str) -> Error {
+    fn invalid(&self, section: &str, key: &str, expected: &str) -> Error {
         let value = self.get(section, key).unwrap_or("");
+        // The cluster key must not appear in logs.
         let shown = if section == "keys" {
             "the value"
         } else {
             value
         };
-        let place = self.place(section, key);
-        let message = format!("{place}: [{section}] {key}: {shown:?} is not {wanted}");
+        let line = self.line_of(section, key);
+        let message = format!("{line}: [{section}] {key}: {shown:?} is not {expected}");
         Error::new(Code::SettingsValue, message)
     }
 
@@ -214,7 +222,7 @@
         &self,
         section: &str,
         key: &str,
-        wanted: &str,
+        expected: &str,
     ) -> Result<Option<T>> {
         let Some(value) = self.get(section, key) else {
             return Ok(None);
@@ -222,11 +230,16 @@
         let parsed = value.parse();
         parsed
             .map(Some)
-            .map_err(|_| self.invalid(section, key, wanted))
+            .map_err(|_| self.invalid(section, key, expected))
     }
 
-    fn required<T: std::str::FromStr>(&self, section: &str, key: &str, wanted: &str) -> Result<T> {
-        let value = self.optional(section, key, wanted)?;
+    fn required<T: std::str::FromStr>(
+        &self,
+        section: &str,
+        key: &str,
+        expected: &str,
+    ) -> Result<T> {
+        let value = self.optional(section, key, expected)?;
         value.ok_or_else(|| Self::missing(section, key))
     }
 
@@ -237,12 +250,12 @@
         default: u64,
         range: std::ops::RangeInclusive<u64>,
     ) -> Result<u64> {
-        let wanted = format!("a whole number from {} to {}", range.start(), range.end());
-        let number = self.optional(section, key, &wanted)?.unwrap_or(default);
+        let expected = format!("a whole number from {} to {}", range.start(), range.end());
+        let number = self.optional(section, key, &expected)?.unwrap_or(default);
         if range.contains(&number) {
             Ok(number)
         } else {
-            Err(self.invalid(section, key, &wanted))
+            Err(self.invalid(section, key, &expected))
         }
     }
 
@@ -291,7 +304,7 @@
             .split(',')
             .map(str::trim)
             .filter(|name| !name.is_empty());
-        // All hosts serve control links on one port, so that a port beside an address tells nothing.
+        // All hosts use the same control port, so a port after an address is ignored.
         let addresses = names.map(|name| name.split(':').next().unwrap_or(name));
         let seeds: std::result::Result<Vec<Ipv4Addr>, _> = addresses.map(str::parse).collect();
         seeds.map_err(|_| self.invalid("peers", "seeds", "a list of IPv4 addresses"))
--- a/src/config/table.rs
+++ b/src/config/table.rs
@@ -1,4 +1,4 @@
-//! The table of weights and limits that operators edit, one value a service.
+//! The table of a service's targets with their weights and limits, which operators edit.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -12,48 +12,48 @@
 /// The first line of every table.
 pub const TABLE_HEADER: &str = "service,address,target,host,backend,weight,slots,connections";
 
-/// The greatest weight of a row.
+/// The highest weight of a row.
 pub(crate) const MAX_WEIGHT: u32 = 1_000_000;
-/// The greatest number of slots or connections of a row.
+/// The highest number of slots or connections of a row.
 pub(crate) const MAX_LIMIT: u32 = 10_000_000;
-/// The longest name of a service or target, in bytes.
+/// The longest name of a service, target or zone, in bytes.
 pub(crate) const MAX_NAME_BYTES: usize = 40;
 
 const COLUMNS: usize = 8;
 
-/// One row: where a share of the service's traffic goes and how far it may be loaded.
+/// A row of a table: a target with its share of the service's load and its limits.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct TableRow {
-    /// The target's name, unique in the service.
+    /// The target's name, unique within the service.
     pub target: String,
     /// The host on which the target's agent and backend server run.
     pub host: Ipv4Addr,
-    /// Where the agent reaches the backend server.
+    /// The address at which the agent reaches the backend server.
     pub backend: SocketAddr,
-    /// The share of the service's load, relative to the other rows; 0 takes no new flow.
+    /// The weight relative to the other rows; a target with weight 0 takes no new flows.
     pub weight: u32,
-    /// The greatest number of requests that run at once.
+    /// The most requests that run at once.
     pub slots: u32,
-    /// The greatest number of open flows.
+    /// The most open flows.
     pub connections: u32,
-    /// The hash by which owners are drawn, derived from the target's name.
+    /// The hash by which the owner of a flow is selected, derived from the target's name.
     #[serde(skip)]
     pub(crate) target_hash: u64,
 }
 
-/// A checked table of one service.
+/// The table of one service, checked.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Table {
     /// The service's name.
     pub service: String,
-    /// The address to which callers send.
+    /// The address that callers call.
     pub address: SocketAddr,
-    /// The rows in order of their target's name.
+    /// The rows in order of their targets' names.
     pub rows: Vec<TableRow>,
 }
 
 impl Table {
-    /// Parses and checks one service's table; one bad row rejects all of it.
+    /// Parses and checks one service's table; one invalid row rejects the whole table.
     ///
     /// # Errors
     ///
@@ -63,13 +63,14 @@
         if tables.len() != 1 {
             return Err(Error::new(
                 Code::TableMixed,
-                format!("{} services stand in one value", tables.len()),
+                format!("one value holds the tables of {} services", tables.len()),
             ));
         }
         Ok(tables.remove(0))
     }
 
-    /// Makes a table without a name and without rows, for targets that register themselves.
+    /// Creates a table without a name and rows, for services whose targets are published one by
+    /// one.
     pub(crate) fn unnamed() -> Table {
         Table {
             service: String::new(),
@@ -88,7 +89,7 @@
         self.rows.iter().find(|row| row.host == host)
     }
 
-    /// Returns the row of the target with this name.
+    /// Returns the row of the target called `target`.
     pub fn row(&self, target: &str) -> Option<&TableRow> {
         let index = self
             .rows
@@ -101,13 +102,13 @@
         self.rows.iter().map(|row| u64::from(row.weight)).sum()
     }
 
-    /// Returns the part of the service's load that the table gives to `row`, from 0 to 1.
+    /// Returns the share of the service's load that `row` takes, from 0 to 1.
     pub fn share(&self, row: &TableRow) -> f64 {
         f64::from(row.weight) / self.total_weight().max(1) as f64
     }
 }
 
-/// Parses a file that may hold several services, as an operator keeps it.
+/// Parses and checks a file with the tables of one or more services.
 ///
 /// # Errors
 ///
@@ -129,10 +130,10 @@
             header_seen = true;
             continue;
         }
-        add_record(&mut tables, &RecordView { record, line })?;
+        add_row(&mut tables, &TableRecord { record, line })?;
     }
     for table in &mut tables {
-        finish(table)?;
+        sort_and_check(table)?;
     }
     check_addresses(&tables)?;
     if tables.is_empty() {
@@ -141,12 +142,13 @@
     Ok(tables)
 }
 
-struct RecordView {
+/// A record of the CSV file and its line, which error messages name.
+struct TableRecord {
     record: csv::StringRecord,
     line: u64,
 }
 
-impl RecordView {
+impl TableRecord {
     fn error(&self, code: Code, column: &str, what: &str) -> Error {
         Error::new(code, format!("line {}, column {column}: {what}", self.line))
     }
@@ -182,11 +184,11 @@
     }
 }
 
-/// Tells whether `name` may name a service, target or zone.
+/// Returns whether `name` is valid as the name of a service, target or zone.
 pub(crate) fn is_valid_name(name: &str) -> bool {
-    let fits = (1..=MAX_NAME_BYTES).contains(&name.len());
-    let allowed = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-';
-    fits && name.bytes().all(allowed)
+    let has_valid_length = (1..=MAX_NAME_BYTES).contains(&name.len());
+    let is_allowed = |byte: u8| byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-';
+    has_valid_length && name.bytes().all(is_allowed)
 }
 
 fn check_header(record: &csv::StringRecord) -> Result<()> {
@@ -198,22 +200,23 @@
     Err(Error::new(Code::TableHeader, message))
 }
 
-fn add_record(tables: &mut Vec<Table>, view: &RecordView) -> Result<()> {
-    if view.record.len() != COLUMNS {
-        let what = format!("{} columns instead of {COLUMNS}", view.record.len());
-        return Err(view.error(Code::TableSyntax, "all", &what));
+/// Adds a record's row to the table of its service.
+fn add_row(tables: &mut Vec<Table>, record: &TableRecord) -> Result<()> {
+    if record.record.len() != COLUMNS {
+        let what = format!("{} columns instead of {COLUMNS}", record.record.len());
+        return Err(record.error(Code::TableSyntax, "all", &what));
     }
-    let service = view.name(0, "service")?;
-    let address: SocketAddr = view.parsed(1, "address")?;
-    let target = view.name(2, "target")?;
+    let service = record.name(0, "service")?;
+    let address: SocketAddr = record.parsed(1, "address")?;
+    let target = record.name(2, "target")?;
     let row = TableRow {
         target_hash: hash::name_hash(&target),
         target,
-        host: view.parsed(3, "host")?,
-        backend: view.parsed(4, "backend")?,
-        weight: view.number(5, "weight", 0, MAX_WEIGHT)?,
-        slots: view.number(6, "slots", 1, MAX_LIMIT)?,
-        connections: view.number(7, "connections", 1, MAX_LIMIT)?,
+        host: record.parsed(3, "host")?,
+        backend: record.parsed(4, "backend")?,
+        weight: record.number(5, "weight", 0, MAX_WEIGHT)?,
+        slots: record.number(6, "slots", 1, MAX_LIMIT)?,
+        connections: record.number(7, "connections", 1, MAX_LIMIT)?,
     };
     let index = tables.iter().rposition(|table| table.service == service);
     let Some(index) = index else {
@@ -226,16 +229,17 @@
     };
     if tables[index].address != address {
         let what = format!("{address} after {}", tables[index].address);
-        return Err(view.error(Code::TableMixed, "address", &what));
+        return Err(record.error(Code::TableMixed, "address", &what));
     }
     tables[index].rows.push(row);
     Ok(())
 }
 
-fn finish(table: &mut Table) -> Result<()> {
+/// Sorts the rows by target, and checks what holds between rows.
+fn sort_and_check(table: &mut Table) -> Result<()> {
     table.rows.sort_by(|a, b| a.target.cmp(&b.target));
-    let twice = table.rows.windows(2).find(|w| w[0].target == w[1].target);
-    if let Some(pair) = twice {
+    let duplicate = table.rows.windows(2).find(|w| w[0].target == w[1].target);
+    if let Some(pair) = duplicate {
         let message = format!("target {} of service {}", pair[0].target, table.service);
         return Err(Error::new(Code::TableDuplicate, message));
     }
@@ -252,6 +256,7 @@
     Ok(())
 }
 
+/// Checks that no two services have the same address.
 fn check_addresses(tables: &[Table]) -> Result<()> {
     let mut addresses: Vec<SocketAddr> = tables.iter().map(|table| table.address).collect();
     addresses.sort_unstable();
--- a/src/config/table_diff.rs
+++ b/src/config/table_diff.rs
@@ -1,8 +1,8 @@
-//! What an edit of a table will do: to shares, limits and open flows.
+//! Compares two versions of a table: how shares and limits change, and what happens to open flows.
 
 use crate::config::table::{Table, TableRow};
 
-/// What an edit does to one target.
+/// The change of one target.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RowChange {
     /// The target's name.
@@ -13,21 +13,21 @@
     pub slots: (u32, u32),
     /// Its connections before and after.
     pub connections: (u32, u32),
-    /// What follows for flows that are open.
+    /// What the change does to flows.
     pub effect: &'static str,
 }
 
-/// What an edit does to one service.
+/// The changes between two versions of a service's table.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TableDiff {
     /// The service's name.
     pub service: String,
-    /// The targets that change, in order of their names.
+    /// The changes of targets, in order of their names.
     pub changes: Vec<RowChange>,
 }
 
 impl TableDiff {
-    /// Compares two versions of one service's table; an absent one has no targets.
+    /// Compares two versions of one service's table; `None` is a table without targets.
     pub fn between(old: Option<&Table>, new: Option<&Table>) -> TableDiff {
         let service = new
             .or(old)
@@ -53,7 +53,7 @@
     }
 }
 
-/// Compares a row in both versions, each with the total weight of its table.
+/// Compares the row of one target in two versions, each given with the total weight of its table.
 fn row_change(
     name: &str,
     before: Option<(f64, &TableRow)>,
@@ -74,11 +74,11 @@
     let same_limits =
         change.slots.0 == change.slots.1 && change.connections.0 == change.connections.1;
     let same_share = (change.share.0 - change.share.1).abs() < f64::EPSILON;
-    let unchanged = same_limits && same_share && change.effect == KEEP;
+    let unchanged = same_limits && same_share && change.effect == ONLY_SHARE_CHANGES;
     (!unchanged).then_some(change)
 }
 
-const KEEP: &str = "open flows stay; new ones follow the new share";
+const ONLY_SHARE_CHANGES: &str = "open flows stay; new ones follow the new share";
 
 fn effect(before: Option<&TableRow>, after: Option<&TableRow>) -> &'static str {
     match (before, after) {
@@ -98,6 +98,6 @@
         (Some(old), Some(new)) if new.connections < old.connections => {
             "open flows above the new limit stay; new ones are taken below it"
         }
-        (Some(_), Some(_)) => KEEP,
+        (Some(_), Some(_)) => ONLY_SHARE_CHANGES,
     }
 }
--- a/src/config/version_stamp.rs
+++ b/src/config/version_stamp.rs
@@ -1,22 +1,24 @@
-//! What tells which of two states of a value is the newer one.
+//! Orders the states of a published value, also after the platform was restored from an older copy.
 
 use crate::config::revision::Revision;
 
-/// Where a state of a value stands among all that its name ever had.
+/// Identifies one state of a published value and orders it among the value's other states.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct VersionStamp {
-    /// Where the platform took it.
+    /// The revision that the platform gave the state.
     pub revision: Revision,
-    /// The version that its writer gave it, rising with each change; 0 where writers give none.
+    /// The version that the state's writer gave it, higher with each change; 0 if the writer gives
+    /// none.
     pub version: u64,
 }
 
 impl VersionStamp {
-    /// Tells whether this state replaces the other one.
+    /// Returns whether this state replaces `other`.
     ///
-    /// Within one era the platform's order decides. Across eras it says nothing: a platform that came back from an older
-    /// copy shows states as new that were replaced long ago. The writer's versions tell them then, where both have one,
-    /// so that an accepted configuration does not go back with the platform.
+    /// Within one era the platform's revisions decide. Across eras they can't: a platform restored
+    /// from an older copy shows states as new that were replaced long ago. The writer's versions
+    /// decide then, if both states have one, so that an accepted configuration does not go back
+    /// with the platform.
     pub fn supersedes(self, other: Self) -> bool {
         let is_same_era = self.revision.era() == other.revision.era();
         let is_versioned = self.version > 0 && other.version > 0;
@@ -27,7 +29,7 @@
     }
 }
 
-/// A state whose writer gives no versions.
+/// Creates the stamp of a state whose writer gives no versions.
 impl<R: Into<Revision>> From<R> for VersionStamp {
     fn from(revision: R) -> Self {
         Self {
--- a/src/controllers/control_plane.rs
+++ b/src/controllers/control_plane.rs
@@ -1,4 +1,4 @@
-//! What every daemon shares: the values in force, its links, its timers and its dump of state.
+//! The state that every daemon has: values in force, control links, timers and the state dump.
 
 use std::cell::{Cell, RefCell};
 use std::net::Ipv4Addr;
@@ -22,17 +22,19 @@
 use crate::process::metrics::Metrics;
 use crate::process::timers::Timers;
 
-/// How many hosts that made links to this process are remembered.
-const MAX_LINKING_HOSTS: usize = 64;
+/// The most hosts with inbound links that are remembered.
+const MAX_INBOUND_LINK_HOSTS: usize = 64;
 
-/// How many values that come into force together are logged one by one; of more, one line tells.
+/// The most values put into force together that are logged one by one; for more, one line gives
+/// their count.
 ///
-/// A process that starts takes a value for each backend server, which would use up the budget of lines.
-const LOGGED_VALUES: usize = 4;
+/// A starting process accepts a value for each backend server, which would use up the budget of log
+/// lines.
+const MAX_LOGGED_VALUES: usize = 4;
 
 type ChangeAction = Rc<dyn Fn(&[&str])>;
 
-/// The parts of a process on which its controllers and filters build.
+/// A process's part of the control plane, on which its controllers and filters build.
 pub(crate) struct ControlPlane {
     pub(crate) settings: Settings,
     pub(crate) clock: Clock,
@@ -43,9 +45,10 @@
     pub(crate) store: RefCell<ConfigStore>,
     pub(crate) suspicion: RefCell<Suspicion>,
     pub(crate) platform_answers: Cell<bool>,
-    /// Whether changes are told along links; without it peers ask, and are told that there is one.
+    /// Whether changes are pushed over control links; if not, peers are only notified of them, and
+    /// pull.
     pub(crate) pushes_changes: Cell<bool>,
-    linking: RefCell<Vec<Ipv4Addr>>,
+    inbound_link_hosts: RefCell<Vec<Ipv4Addr>>,
     entry_hosts: RefCell<Rc<[Ipv4Addr]>>,
     on_change: RefCell<Vec<ChangeAction>>,
 }
@@ -67,7 +70,7 @@
             suspicion: RefCell::default(),
             platform_answers: Cell::new(false),
             pushes_changes: Cell::new(true),
-            linking: RefCell::default(),
+            inbound_link_hosts: RefCell::default(),
             entry_hosts: RefCell::new(Rc::default()),
             on_change: RefCell::default(),
             metrics,
@@ -84,7 +87,7 @@
         self.on_change.borrow_mut().push(Rc::new(action));
     }
 
-    /// Takes a value that the platform published.
+    /// Accepts a value that was read from the platform.
     pub(crate) fn accept(
         &self,
         name: &str,
@@ -93,71 +96,78 @@
     ) -> Result<AcceptOutcome> {
         let stamp = stamp.into();
         let result = self.store.borrow_mut().accept(name, stamp, text);
-        if self.judge(name, stamp.revision, &result) {
-            self.in_force(&[(name, stamp)]);
+        if self.record_result(name, stamp.revision, &result) {
+            self.announce_in_force(&[(name, stamp)]);
         }
         result
     }
 
-    /// Takes values that the platform published together; a rejected one is counted and logged.
+    /// Accepts values that were read together from the platform; rejected ones are counted and
+    /// logged.
     pub(crate) fn accept_all(&self, values: &[IncomingValue<'_>]) {
-        self.conclude(values.iter().map(|&IncomingValue { name, stamp, text }| {
+        self.record_results(values.iter().map(|&IncomingValue { name, stamp, text }| {
             let result = self.store.borrow_mut().accept(name, stamp, text);
             (name, stamp, result)
         }));
     }
 
-    /// Takes a value that a peer sent.
+    /// Accepts a value that a peer sent.
     pub(crate) fn accept_update(&self, update: &ValueUpdate) -> Result<AcceptOutcome> {
         let result = self.store.borrow_mut().accept_update(update);
-        if self.judge(&update.name, update.stamp.revision, &result) {
-            self.in_force(&[(&update.name, update.stamp)]);
+        if self.record_result(&update.name, update.stamp.revision, &result) {
+            self.announce_in_force(&[(&update.name, update.stamp)]);
         }
         result
     }
 
-    /// Takes values that a peer sent together, and returns the names of those that came into force.
+    /// Accepts values that a peer sent together; returns the names of those put into force.
     pub(crate) fn accept_updates<'a>(&self, updates: &'a [ValueUpdate]) -> Vec<&'a str> {
-        self.conclude(updates.iter().map(|update| {
+        self.record_results(updates.iter().map(|update| {
             let result = self.store.borrow_mut().accept_update(update);
             (update.name.as_str(), update.stamp, result)
         }))
     }
 
-    /// Judges what became of values that came together, tells of those in force, and returns their names.
-    fn conclude<'a>(
+    /// Records the results of values offered together, announces those put into force, and returns
+    /// their names.
+    fn record_results<'a>(
         &self,
         results: impl Iterator<Item = (&'a str, VersionStamp, Result<AcceptOutcome>)>,
     ) -> Vec<&'a str> {
-        let judged =
-            results.filter(|(name, stamp, result)| self.judge(name, stamp.revision, result));
+        let recorded = results
+            .filter(|(name, stamp, result)| self.record_result(name, stamp.revision, result));
         let accepted: Vec<(&str, VersionStamp)> =
-            judged.map(|(name, stamp, _)| (name, stamp)).collect();
-        self.in_force(&accepted);
+            recorded.map(|(name, stamp, _)| (name, stamp)).collect();
+        self.announce_in_force(&accepted);
         accepted.into_iter().map(|(name, _)| name).collect()
     }
 
-    /// Notes that the process on `host` made a control link to this one and proved itself.
+    /// Records that the process on `host` opened an authenticated control link to this one.
     ///
-    /// A process that starts while the platform is silent has no host list; those that link to it
-    /// are then the peers that it can ask.
+    /// A process that starts while the platform does not answer has no host list; these hosts are
+    /// then the peers that it can ask.
     pub(crate) fn record_inbound_link(&self, host: Ipv4Addr) {
         self.suspicion.borrow_mut().answered(host);
-        let mut linking = self.linking.borrow_mut();
-        if linking.len() < MAX_LINKING_HOSTS
-            && let Err(index) = linking.binary_search(&host)
+        let mut hosts = self.inbound_link_hosts.borrow_mut();
+        if hosts.len() < MAX_INBOUND_LINK_HOSTS
+            && let Err(index) = hosts.binary_search(&host)
         {
-            linking.insert(index, host);
+            hosts.insert(index, host);
         }
     }
 
-    /// Returns the hosts that made control links to this process.
+    /// Returns the hosts that opened control links to this process.
     pub(crate) fn inbound_link_hosts(&self) -> Vec<Ipv4Addr> {
-        self.linking.borrow().clone()
+        self.inbound_link_hosts.borrow().clone()
     }
 
-    /// Counts what became of a value; tells whether it came into force.
-    fn judge(&self, name: &str, revision: Revision, result: &Result<AcceptOutcome>) -> bool {
+    /// Counts and logs the result of an offered value; returns whether it was put into force.
+    fn record_result(
+        &self,
+        name: &str,
+        revision: Revision,
+        result: &Result<AcceptOutcome>,
+    ) -> bool {
         match result {
             Ok(AcceptOutcome::Stale) => false,
             Ok(AcceptOutcome::Accepted) => {
@@ -173,15 +183,16 @@
         }
     }
 
-    /// Tells of values that came into force together, each with its revision.
-    fn in_force(&self, values: &[(&str, VersionStamp)]) {
+    /// Logs values that were put into force together, updates metrics and runs the registered
+    /// actions.
+    fn announce_in_force(&self, values: &[(&str, VersionStamp)]) {
         if values.is_empty() {
             return;
         }
         let highest = self.store.borrow().digest().highest;
         self.metrics.config_revision.set(highest.number() as i64);
         self.metrics.opaque.platform_era.set(highest.era() as i64);
-        if values.len() > LOGGED_VALUES {
+        if values.len() > MAX_LOGGED_VALUES {
             let count = values.len();
             log::info!("event=values_in_force count={count} revision={highest}");
         } else {
@@ -191,31 +202,31 @@
                 );
             }
         }
-        // Several states of one value may come together; the last one is in force.
+        // Several states of one value may be accepted together; the last one is in force.
         let routes = self.store.borrow().get(ROUTES_NAME).map(StoredValue::stamp);
         let version = routes.map_or(0, |stamp| stamp.version);
         self.metrics.config_version.set(version as i64);
         let names: Vec<&str> = values.iter().map(|(name, _)| *name).collect();
         if names.contains(&HOSTS_NAME) {
-            self.keep_entry_hosts();
+            self.cache_entry_hosts();
         }
         let actions = self.on_change.borrow().clone();
         actions.iter().for_each(|action| action(&names));
     }
 
-    /// Returns the entry hosts of the list, to which answers may go.
+    /// Returns the entry hosts of the host list, to which answers may be sent.
     pub(crate) fn entry_hosts(&self) -> Rc<[Ipv4Addr]> {
         self.entry_hosts.borrow().clone()
     }
 
-    /// Keeps the entry hosts at hand, since each answer asks for them.
-    fn keep_entry_hosts(&self) {
+    /// Caches the entry hosts, since sending an answer needs them.
+    fn cache_entry_hosts(&self) {
         let store = self.store.borrow();
         let entries = store.hosts().with_role(HostRole::Entry);
         *self.entry_hosts.borrow_mut() = entries.map(|host| host.address).collect();
     }
 
-    /// Returns the part of the state dump that all daemons have.
+    /// Returns the part of the state dump that all daemons share.
     pub(crate) fn state(&self, role: &str) -> Value {
         let now_ms = self.now_ms();
         let store = self.store.borrow();
--- a/src/controllers/mod.rs
+++ b/src/controllers/mod.rs
@@ -1,8 +1,9 @@
-//! What keeps a process level with what is published: the state that all parts share, who reads the
-//! platform, how values pass between processes, what is answered on control links, the reload of settings.
+//! Keeps a process up to date with the published values: the shared state, reading the platform,
+//! passing values between processes, the server of control links, and reloading settings.
 //!
-//! The rule that lives here: a change is in force everywhere within seconds, also while the platform or
-//! some processes are away, and nobody is elected for it. It uses all folders below, and no form of flows.
+//! A change is in force everywhere within seconds, also while the platform or some processes are
+//! down, and without electing a leader. The modules here use all folders below, but neither form of
+//! flows (`quic` and `opaque`).
 
 pub(crate) mod control_plane;
 pub(crate) mod node_server;
--- a/src/controllers/node_server.rs
+++ b/src/controllers/node_server.rs
@@ -22,10 +22,11 @@
 use crate::links::peer_request::{PeerAnswer, PeerRequest};
 use crate::node_capnp::node;
 
-/// The most control links that a process accepts at once.
+/// The most inbound control links that are open at once.
 const MAX_INBOUND_LINKS: usize = 1_024;
 
-/// About how many bytes of values one answer carries: some packets, well under what a call may take.
+/// The size in bytes after which no further value is added to an answer, so that it is sent well
+/// within the timeout of a call.
 const MAX_FETCH_BYTES: usize = 256 << 10;
 
 type Capnp<T = ()> = std::result::Result<T, capnp::Error>;
@@ -33,7 +34,7 @@
 type ExchangeLoad = dyn Fn(ServiceId, &[LoadReport]) -> Vec<LoadReport>;
 type Run = dyn Fn(SealedBytes, PeerRequest) -> LocalBoxFuture<'static, PeerAnswer>;
 
-/// Where the roles differ in what they answer.
+/// The handlers of calls that balancers and agents answer differently.
 pub(crate) struct NodeHooks {
     pub(crate) exchange_load: Box<ExchangeLoad>,
     pub(crate) offer: Box<dyn Fn(ServiceId, u32) -> OfferReply>,
@@ -50,12 +51,12 @@
 /// Accepts control links forever.
 pub(crate) async fn serve(listener: TcpListener, control: Rc<ControlPlane>, hooks: NodeHooks) {
     let hooks = Rc::new(hooks);
-    let open = Rc::new(());
+    let open_links = Rc::new(());
     loop {
         let Ok((stream, peer)) = listener.accept().await else {
             continue;
         };
-        if Rc::strong_count(&open) > MAX_INBOUND_LINKS {
+        if Rc::strong_count(&open_links) > MAX_INBOUND_LINKS {
             control.metrics.links_refused.inc(Code::LinkClosed);
             continue;
         }
@@ -64,10 +65,10 @@
             hooks: hooks.clone(),
         };
         let control = control.clone();
-        let open = open.clone();
+        let open_link = open_links.clone();
         compio::runtime::spawn(async move {
             serve_link(stream, peer, &control, server).await;
-            drop(open);
+            drop(open_link);
         })
         .detach();
     }
@@ -79,11 +80,11 @@
     control: &Rc<ControlPlane>,
     server: NodeServer,
 ) {
-    // Without it calls would only be slower.
+    // An error is ignored, since calls work without the option, only slower.
     let _ = stream.set_nodelay(true);
     let cluster = &control.settings.cluster_key;
     if let Err(error) = link_auth::authenticate(&mut stream, cluster, LinkSide::Server).await {
-        refused(control, peer, &error);
+        record_refused(control, peer, &error);
         return;
     }
     if let IpAddr::V4(host) = peer.ip() {
@@ -93,7 +94,7 @@
     link::serve(stream, &control.metrics, client).await;
 }
 
-fn refused(control: &ControlPlane, peer: SocketAddr, error: &crate::error::Error) {
+fn record_refused(control: &ControlPlane, peer: SocketAddr, error: &crate::error::Error) {
     control.metrics.links_refused.inc(error.code);
     if error.code == Code::LinkRefused {
         log::warn!("event=link_refused peer={peer} error={error}");
@@ -161,11 +162,16 @@
         if result == Ok(AcceptOutcome::Accepted) {
             relay::push_to_peers(&self.control, &update.name);
         }
-        // A rejected value is answered as known, so that the peer does not send it again whole.
+        // The revision of a rejected value is returned too, so that the peer does not send the
+        // whole value again.
         let store = self.control.store.borrow();
-        let wanted = store.is_new_state(&update.name, update.stamp);
+        let is_still_new = store.is_new_state(&update.name, update.stamp);
         let held = store.revision(&update.name);
-        let known = if wanted { held } else { update.stamp.revision };
+        let known = if is_still_new {
+            held
+        } else {
+            update.stamp.revision
+        };
         results.get().set_revision(known.bits());
         Ok(())
     }
@@ -239,24 +245,25 @@
 
 fn read_run(params: &node::RunParams) -> Result<(SealedBytes, PeerRequest)> {
     let params = params.get().map_err(node_codec::from_capnp)?;
-    let ticket = node_codec::data(params.get_ticket())?;
+    let ticket = node_codec::read_data(params.get_ticket())?;
     let ticket = ticket_bytes(&ticket);
-    let ticket = ticket
-        .ok_or_else(|| crate::error::Error::new(Code::BadRequest, "ticket of a wrong length"))?;
+    let ticket = ticket.ok_or_else(|| {
+        crate::error::Error::new(Code::BadRequest, "the ticket has a wrong length")
+    })?;
     let request = params.get_request().map_err(node_codec::from_capnp)?;
     let headers = request.get_headers().map_err(node_codec::from_capnp)?;
     let request = PeerRequest {
         service: ServiceId(request.get_service()),
-        method: node_codec::text(request.get_method())?,
-        path: node_codec::text(request.get_path())?,
+        method: node_codec::read_text(request.get_method())?,
+        path: node_codec::read_text(request.get_path())?,
         headers: node_codec::read_headers(headers)?,
-        body: node_codec::data(request.get_body())?,
+        body: node_codec::read_data(request.get_body())?,
         timeout_ms: request.get_timeout_ms(),
     };
     Ok((ticket, request))
 }
 
-/// Returns hooks for a process that serves no flows itself.
+/// Returns the hooks of a process that serves no flows.
 pub(crate) fn hooks_without_flows(state: impl Fn() -> Value + 'static) -> NodeHooks {
     NodeHooks {
         exchange_load: Box::new(|_, _| Vec::new()),
@@ -272,7 +279,7 @@
     }
 }
 
-/// Returns an answer without a body for a request that did not run or whose outcome is unknown.
+/// Returns the answer to a request that did not run or whose outcome is unknown; it has no body.
 pub(crate) fn refused_answer(code: Code, retry_after_ms: u32) -> PeerAnswer {
     PeerAnswer {
         code,
--- a/src/controllers/platform_reader.rs
+++ b/src/controllers/platform_reader.rs
@@ -1,4 +1,4 @@
-//! Reads the platform, where this process is one of its zone's few readers.
+//! Reads the platform while this process is one of the readers of its availability zone.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -13,19 +13,22 @@
 use crate::controllers::relay;
 use crate::error::{Error, Result};
 
-/// How long one watch waits for a change, in milliseconds.
+/// The time that one watch waits for a change, in milliseconds.
 const WATCH_WAIT_MS: u64 = 10_000;
-/// How long a process that is no reader waits before it looks again, in milliseconds.
-const IDLE_MS: u64 = 500;
-/// The shortest wait after a failed call, in milliseconds; it doubles up to [`MAX_BACKOFF_MS`].
+/// The period at which a process that is not a reader checks whether it has become one, in
+/// milliseconds.
+const ROLE_CHECK_PERIOD_MS: u64 = 500;
+/// The first backoff after a failed call, in milliseconds; it doubles up to [`MAX_BACKOFF_MS`].
 const MIN_BACKOFF_MS: u64 = 250;
 const MAX_BACKOFF_MS: u64 = 4_000;
-/// The longest wait of a starting process, which peers may reach in the meantime.
+/// The longest backoff of a starting process, in milliseconds; it is short because peers may become
+/// reachable.
 const MAX_START_BACKOFF_MS: u64 = 500;
-/// How long without any peer before a process reads for itself, in milliseconds.
-const ALONE_MS: u64 = 5_000;
+/// The time without an answer from any peer after which a process reads the platform itself, in
+/// milliseconds.
+const NO_PEER_TIMEOUT_MS: u64 = 5_000;
 
-/// Tells whether this process should watch the platform now.
+/// Decides whether this process watches the platform.
 pub(crate) struct ReaderRole {
     last_peer_ms: Cell<u64>,
 }
@@ -37,28 +40,29 @@
         })
     }
 
-    /// Notes that a peer answered.
+    /// Records that a peer answered.
     pub(crate) fn record_peer_answer(&self, now_ms: u64) {
         self.last_peer_ms.set(now_ms);
     }
 
     fn is_reader(&self, control: &ControlPlane) -> bool {
         let now_ms = control.now_ms();
-        if now_ms.saturating_sub(self.last_peer_ms.get()) > ALONE_MS {
+        if now_ms.saturating_sub(self.last_peer_ms.get()) > NO_PEER_TIMEOUT_MS {
             return true;
         }
         let suspicion = control.suspicion.borrow();
-        let trusted = |host| !suspicion.is_suspected(host, now_ms);
+        let is_trusted = |host| !suspicion.is_suspected(host, now_ms);
         let store = control.store.borrow();
         let zone = &control.settings.zone;
-        membership::select_readers(store.hosts(), zone, trusted).contains(&control.settings.host)
+        membership::select_readers(store.hosts(), zone, is_trusted).contains(&control.settings.host)
     }
 }
 
-/// Brings the process up: the host list from the platform, the rest from peers if they have it.
+/// Gets the first configuration of a starting process: the host list from the platform, then all
+/// values from peers and from the platform.
 ///
-/// Returns when either a peer or the platform has answered, since serving before that could mean
-/// an older configuration than one that was accepted.
+/// Returns when a peer or the platform has answered, since a process that serves before that might
+/// use an older configuration than one that was accepted.
 pub(crate) async fn start(control: &Rc<ControlPlane>, reader_role: &ReaderRole) {
     let mut backoff_ms = MIN_BACKOFF_MS;
     loop {
@@ -80,18 +84,18 @@
     }
 }
 
-/// Watches the platform forever, while this process is a reader.
+/// Watches the platform whenever this process is a reader; runs forever.
 pub(crate) async fn run(control: Rc<ControlPlane>, reader_role: Rc<ReaderRole>) {
     let mut since = Revision::ZERO;
     let mut backoff_ms = MIN_BACKOFF_MS;
     loop {
         if !reader_role.is_reader(&control) {
-            compio::time::sleep(Duration::from_millis(IDLE_MS)).await;
+            compio::time::sleep(Duration::from_millis(ROLE_CHECK_PERIOD_MS)).await;
             continue;
         }
         match read_changes(&control, since, WATCH_WAIT_MS).await {
-            Ok(seen) => {
-                since = seen;
+            Ok(read_up_to) => {
+                since = read_up_to;
                 backoff_ms = MIN_BACKOFF_MS;
             }
             Err(_) => {
@@ -103,7 +107,8 @@
     }
 }
 
-/// Waits for changes above `since`, takes them and returns up to where they were seen.
+/// Waits for changes above `since` and accepts them; returns the revision up to which changes were
+/// read.
 async fn read_changes(
     control: &Rc<ControlPlane>,
     since: Revision,
@@ -111,12 +116,12 @@
 ) -> Result<Revision> {
     control.metrics.platform_calls.inc();
     let changes = platform::watch(control.settings.platform, since, wait_ms).await;
-    let changes = changes.inspect_err(|error| failed(control, error))?;
+    let changes = changes.inspect_err(|error| record_failure(control, error))?;
     let mine = control.store.borrow().digest().highest;
     if changes.highest < mine.max(since) {
         let message = format!("revision {} after {}", changes.highest, mine.max(since));
         let error = Error::new(Code::PlatformStale, message);
-        failed(control, &error);
+        record_failure(control, &error);
         return Err(error);
     }
     for (name, revision) in &changes.entries {
@@ -124,34 +129,35 @@
             read_one(control, name).await?;
         }
     }
-    answered(control);
+    record_answer(control);
     if changes.highest.era() > since.era() {
-        // What changed between was numbered anew, so that the changes above a number of before are not all.
+        // The platform was restored and reuses numbers, so changes above the old number are not all
+        // changes: read the era from its start.
         log::warn!("event=platform_restored revision={}", changes.highest);
         return Ok(Revision::new(changes.highest.era(), 0).unwrap_or_default());
     }
     Ok(changes.highest)
 }
 
-/// Reads one value, takes it if it is news and tells it on.
+/// Reads one value and accepts it; pushes it to the peers if it was put into force.
 async fn read_one(control: &Rc<ControlPlane>, name: &str) -> Result<()> {
     control.metrics.platform_calls.inc();
     let value = platform::read_value(control.settings.platform, name).await;
-    let (revision, text) = value.inspect_err(|error| failed(control, error))?;
-    // A rejected value is counted and kept as rejected; reading goes on with the next one.
+    let (revision, text) = value.inspect_err(|error| record_failure(control, error))?;
+    // A rejection is counted and kept in the store; it does not keep other values from being read.
     if control.accept(name, revision, &text) == Ok(AcceptOutcome::Accepted) {
         relay::push_to_peers(control, name);
     }
     Ok(())
 }
 
-fn answered(control: &ControlPlane) {
+fn record_answer(control: &ControlPlane) {
     if !control.platform_answers.replace(true) {
         log::info!("event=platform_answers");
     }
 }
 
-fn failed(control: &ControlPlane, error: &Error) {
+fn record_failure(control: &ControlPlane, error: &Error) {
     control.metrics.platform_failures.inc(error.code);
     if control.platform_answers.replace(false) {
         log::warn!("event=platform_fails error={error}");
--- a/src/controllers/relay.rs
+++ b/src/controllers/relay.rs
@@ -1,7 +1,8 @@
-//! Keeps the values of all processes level: told on a change, compared now and then.
+//! Keeps the values of all processes the same: changes are pushed to peers, and digests are
+//! compared periodically.
 //!
-//! A change runs along the random graph of links, as a delta, and each process passes it on once.
-//! What is lost on the way is found by comparing digests; see docs/DESIGN.md, "Configuration".
+//! A change spreads as a delta over the random graph of control links; each process pushes it once.
+//! Lost changes are found by comparing digests; see docs/DESIGN.md, "Configuration".
 
 use std::cell::Cell;
 use std::net::Ipv4Addr;
@@ -16,33 +17,34 @@
 use crate::controllers::control_plane::ControlPlane;
 use crate::error::Result;
 
-/// How often a process compares its revisions with one peer, in milliseconds.
+/// The period at which a process compares its digest with one peer, in milliseconds.
 pub(crate) const COMPARE_PERIOD_MS: u64 = 1_000;
-/// How far below its own highest revision a process asks for changes that it missed between newer ones, before it
-/// asks for all.
+/// How far below its own highest revision a process pulls, to get changes that it missed between
+/// newer ones, before it pulls everything.
 const RECENT_REVISIONS: u64 = 64;
-/// From how many peers a starting process takes what they hold.
+/// The number of peers from which a starting process pulls.
 const START_PEERS: usize = 3;
-/// The most values that are asked for at once.
-const MAX_WANTED: usize = 1_024;
+/// The most values that one call fetches.
+const MAX_FETCHED_VALUES: usize = 1_024;
 
-/// Returns the peers of this process, without those that are suspected.
+/// Returns the peers of this process that are not suspected; before a host list is known, the seeds
+/// and the hosts that opened links to this process.
 pub(crate) fn peers(control: &ControlPlane) -> Vec<Ipv4Addr> {
     let now_ms = control.now_ms();
-    let me = control.settings.host;
+    let own_host = control.settings.host;
     let suspicion = control.suspicion.borrow();
-    let trusted = |host| !suspicion.is_suspected(host, now_ms);
-    let links = membership::select_peers(control.store.borrow().hosts(), me, trusted);
-    if !links.is_empty() {
-        return links;
+    let is_trusted = |host| !suspicion.is_suspected(host, now_ms);
+    let peers = membership::select_peers(control.store.borrow().hosts(), own_host, is_trusted);
+    if !peers.is_empty() {
+        return peers;
     }
     let mut known = control.settings.seeds.clone();
     known.extend(control.inbound_link_hosts());
-    known.retain(|host| *host != me && trusted(*host));
+    known.retain(|host| *host != own_host && is_trusted(*host));
     known
 }
 
-/// Tells the value in force to all peers, each as a change against the revision it had.
+/// Pushes the value in force to all peers, as a delta to the revision before.
 pub(crate) fn push_to_peers(control: &Rc<ControlPlane>, name: &str) {
     if !control.pushes_changes.get() {
         return;
@@ -63,7 +65,8 @@
     }
 }
 
-/// Tells one peer, and once more against its own revision where the first change did not fit.
+/// Pushes a value to one peer; if the delta did not apply there, pushes again against the peer's
+/// own revision.
 async fn push(control: &ControlPlane, host: Ipv4Addr, name: &str, base: Revision) -> Result<()> {
     let Some(update) = update_for(control, name, base) else {
         return Ok(());
@@ -78,8 +81,8 @@
     Ok(())
 }
 
-fn update_for(control: &ControlPlane, name: &str, have: Revision) -> Option<ValueUpdate> {
-    control.store.borrow().update_for(name, have)
+fn update_for(control: &ControlPlane, name: &str, peer_revision: Revision) -> Option<ValueUpdate> {
+    control.store.borrow().update_for(name, peer_revision)
 }
 
 fn suspect(control: &ControlPlane, host: Ipv4Addr, error: &crate::error::Error) {
@@ -88,10 +91,11 @@
     control.suspicion.borrow_mut().suspect(host, now_ms);
 }
 
-/// Compares with one random peer and takes what is newer there.
+/// Compares digests with one random peer and pulls what is newer there; returns whether the peer
+/// answered.
 pub(crate) async fn compare_once(control: &Rc<ControlPlane>) -> bool {
-    let links = peers(control);
-    let Some(host) = links.choose(&mut rand::rng()).copied() else {
+    let peers = peers(control);
+    let Some(host) = peers.choose(&mut rand::rng()).copied() else {
         return false;
     };
     let result = compare_with(control, host).await;
@@ -101,13 +105,15 @@
     result.is_ok()
 }
 
+/// Compares digests with a peer and pulls what is missing here.
 pub(crate) async fn compare_with(control: &Rc<ControlPlane>, host: Ipv4Addr) -> Result<()> {
     let mine = control.store.borrow().digest();
     let theirs = control.peers.compare(host, mine).await?;
     if theirs == mine {
         return Ok(());
     }
-    // Most often only what is newer is missing: a hundred bytes, beside two thousand for the last revisions.
+    // Usually only newer values are missing: listing them takes about a hundred bytes, while
+    // listing the recent revisions takes two thousand.
     if theirs.highest > mine.highest {
         pull(control, host, mine.highest).await?;
         if control.store.borrow().digest().hash == theirs.hash {
@@ -122,7 +128,8 @@
     Ok(())
 }
 
-/// Takes from a peer what has a revision above `floor` and is news here.
+/// Fetches from a peer the values with a revision above `floor` that are new here, and pushes them
+/// on.
 pub(crate) async fn pull(
     control: &Rc<ControlPlane>,
     host: Ipv4Addr,
@@ -130,15 +137,15 @@
 ) -> Result<()> {
     let started_ms = control.now_ms();
     let states = control.peers.changes(host, floor).await?;
-    let mut wanted = wanted(&control.store.borrow(), states);
+    let mut wanted = new_values(&control.store.borrow(), states);
     while !wanted.is_empty() {
-        let asked = wanted.len().min(MAX_WANTED);
-        let (updates, handled) = control.peers.fetch(host, &wanted[..asked]).await?;
+        let count = wanted.len().min(MAX_FETCHED_VALUES);
+        let (updates, handled) = control.peers.fetch(host, &wanted[..count]).await?;
         if handled == 0 {
             return Ok(());
         }
-        wanted.drain(..handled.min(asked));
-        // A rejection is counted and kept in the store; the other values still count.
+        wanted.drain(..handled.min(count));
+        // A rejection is counted and kept in the store; it does not affect the other values.
         for name in control.accept_updates(&updates) {
             push_to_peers(control, name);
         }
@@ -149,19 +156,20 @@
     Ok(())
 }
 
-/// Returns the names of the values that are news here, each with the revision that is held of it.
-fn wanted(store: &ConfigStore, states: Vec<(String, VersionStamp)>) -> Vec<(String, Revision)> {
-    let news = states
+/// Returns the names of the values that are new here, each with the revision held here.
+fn new_values(store: &ConfigStore, states: Vec<(String, VersionStamp)>) -> Vec<(String, Revision)> {
+    let new_states = states
         .into_iter()
         .filter(|(name, stamp)| store.is_new_state(name, *stamp));
-    news.map(|(name, _)| {
-        let held = store.revision(&name);
-        (name, held)
-    })
-    .collect()
+    new_states
+        .map(|(name, _)| {
+            let held = store.revision(&name);
+            (name, held)
+        })
+        .collect()
 }
 
-/// Takes what several peers hold, before this process serves; returns how many answered.
+/// Pulls all values from several peers, before this process serves; returns how many answered.
 pub(crate) async fn pull_at_start(control: &Rc<ControlPlane>) -> usize {
     let mut answered = 0;
     for host in peers(control).into_iter().take(START_PEERS) {
@@ -173,33 +181,34 @@
     answered
 }
 
-/// Asks a host whose packet showed a higher revision, at most one ask at a time.
+/// Pulls from a host whose packet carried a higher revision; one pull runs at a time.
 pub(crate) struct RevisionPuller {
     control: Rc<ControlPlane>,
-    asking: Rc<Cell<bool>>,
+    is_pulling: Rc<Cell<bool>>,
 }
 
 impl RevisionPuller {
     pub(crate) fn new(control: &Rc<ControlPlane>) -> Self {
         Self {
             control: control.clone(),
-            asking: Rc::default(),
+            is_pulling: Rc::default(),
         }
     }
 
-    /// Notes the revision on a packet from `host`.
+    /// Starts a pull if `revision`, which a packet from `host` carried, is higher than the one held
+    /// here.
     pub(crate) fn observe(&self, host: Ipv4Addr, revision: Revision) {
         let mine = self.control.store.borrow().digest().highest;
-        if revision <= mine || self.asking.replace(true) {
+        if revision <= mine || self.is_pulling.replace(true) {
             return;
         }
         let control = self.control.clone();
-        let asking = self.asking.clone();
+        let is_pulling = self.is_pulling.clone();
         compio::runtime::spawn(async move {
             if let Err(error) = pull(&control, host, mine).await {
                 suspect(&control, host, &error);
             }
-            asking.set(false);
+            is_pulling.set(false);
         })
         .detach();
     }
--- a/src/controllers/reload.rs
+++ b/src/controllers/reload.rs
@@ -1,4 +1,4 @@
-//! Reads the settings again when the process is told that they have changed.
+//! Reloads the settings on a hangup signal.
 
 use std::path::Path;
 use std::rc::Rc;
@@ -8,15 +8,15 @@
 
 const SIGHUP: i32 = 1;
 
-/// Reads the settings file again on each hangup signal, forever.
+/// Reloads the settings file on each hangup signal, forever.
 ///
-/// The level of log lines is taken at once; what is bound to sockets or identity needs a restart, and
-/// the line says so. A file that can't be used changes nothing.
+/// The log level is applied at once. Settings of sockets and identity need a restart, which the log
+/// line reports. An invalid file changes nothing.
 pub(crate) async fn run(control: Rc<ControlPlane>, path: &Path) {
-    // Without any listener a hangup ends the process, also between two waits of the loop. This one is
-    // registered by its first poll and never completes, as it is not polled again.
-    let mut held = std::pin::pin!(compio::signal::unix::signal(SIGHUP));
-    let _ = futures_util::poll!(held.as_mut());
+    // A hangup without a listener ends the process, also between two waits of the loop. This
+    // listener is registered by its first poll and stays, as it is not polled again.
+    let mut listener = std::pin::pin!(compio::signal::unix::signal(SIGHUP));
+    let _ = futures_util::poll!(listener.as_mut());
     loop {
         if let Err(error) = compio::signal::unix::signal(SIGHUP).await {
             log::error!("event=no_signals signal={SIGHUP} error={error}");
--- a/src/links/link.rs
+++ b/src/links/link.rs
@@ -1,4 +1,4 @@
-//! One control link: an authenticated TCP connection that carries `capnp-rpc`.
+//! A control link: an authenticated TCP connection that carries `capnp-rpc`.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
@@ -19,27 +19,28 @@
 use crate::process::counted_stream::CountedStream;
 use crate::process::metrics::Metrics;
 
-/// How long a connection may take to be made, in milliseconds.
+/// The timeout of connecting, in milliseconds.
 pub(crate) const CONNECT_TIMEOUT_MS: u64 = 1_000;
-/// The largest control message, in 8-byte words: a whole published value with room to spare.
+/// The largest control message, in 8-byte words: four times the largest published value.
 const MAX_MESSAGE_WORDS: usize = 512 * 1024;
 
-/// A link to a peer; it closes when it is dropped.
+/// An open link to a peer; dropping it closes it.
 pub(crate) struct Link {
     pub(crate) client: node::Client,
     _driver: JoinHandle<()>,
 }
 
 impl Link {
-    /// Connects from the process's own host, by which the peer knows it, to the peer at `address`.
+    /// Connects to the peer at `address`, from the address of the process's own host, by which the
+    /// peer identifies it.
     pub(crate) async fn connect(
-        own: Ipv4Addr,
+        own_host: Ipv4Addr,
         address: SocketAddr,
         cluster: &ClusterKey,
         metrics: &Rc<Metrics>,
     ) -> Result<Link> {
         let timeout = Duration::from_millis(CONNECT_TIMEOUT_MS);
-        let connected = compio::time::timeout(timeout, connect_from(own, address)).await;
+        let connected = compio::time::timeout(timeout, connect_from(own_host, address)).await;
         let closed = |what: String| Error::new(Code::LinkClosed, format!("{address}: {what}"));
         let stream = connected.map_err(|_| closed("timed out".to_owned()))?;
         let mut stream = stream.map_err(|error| closed(error.to_string()))?;
@@ -49,7 +50,7 @@
         let mut system = RpcSystem::new(Box::new(network), None);
         let client: node::Client = system.bootstrap(Side::Server);
         let driver = compio::runtime::spawn(async move {
-            // Calls on a broken link fail, and are reported, one by one.
+            // The error is ignored here, since each call on a broken link fails with its own.
             let _ = system.await;
         });
         Ok(Link {
@@ -59,19 +60,19 @@
     }
 }
 
-async fn connect_from(own: Ipv4Addr, address: SocketAddr) -> std::io::Result<TcpStream> {
+async fn connect_from(own_host: Ipv4Addr, address: SocketAddr) -> std::io::Result<TcpStream> {
     let socket = TcpSocket::new_v4().await?;
-    socket.bind(SocketAddr::from((own, 0))).await?;
+    socket.bind(SocketAddr::from((own_host, 0))).await?;
     socket.connect(address).await
 }
 
-/// Serves one connection whose peer has proved itself, until it closes.
+/// Serves an authenticated connection until it closes.
 pub(crate) async fn serve(stream: TcpStream, metrics: &Rc<Metrics>, client: node::Client) {
     let system = RpcSystem::new(
         Box::new(network(stream, Side::Server, metrics)),
         Some(client.client),
     );
-    // A link that breaks is its peer's to make again.
+    // The error is ignored, since the peer reconnects.
     let _ = system.await;
 }
 
--- a/src/links/link_auth.rs
+++ b/src/links/link_auth.rs
@@ -1,4 +1,4 @@
-//! How the two ends of a control link prove to each other that they hold the cluster key.
+//! Mutual authentication of the two ends of a control link by the cluster key.
 
 use std::time::Duration;
 
@@ -41,11 +41,12 @@
     }
 }
 
-/// Exchanges nonces and proofs before a byte of the control protocol is read.
+/// Exchanges nonces and proofs, before any byte of the control protocol is read.
 ///
 /// # Errors
 ///
-/// Returns code 4007 for a peer without the key, 4008 for one that closes or stays silent.
+/// Returns code 4007 if the peer does not hold the cluster key, and 4008 if it closes the
+/// connection or does not answer in time.
 pub async fn authenticate(
     stream: &mut TcpStream,
     cluster: &ClusterKey,
@@ -53,7 +54,7 @@
 ) -> Result<()> {
     let handshake = exchange(stream, cluster, side);
     let result = compio::time::timeout(HANDSHAKE_TIMEOUT, handshake).await;
-    result.unwrap_or_else(|_| Err(Error::new(Code::LinkClosed, "no handshake in time")))
+    result.unwrap_or_else(|_| Err(Error::new(Code::LinkClosed, "handshake timed out")))
 }
 
 async fn exchange(stream: &mut TcpStream, cluster: &ClusterKey, side: LinkSide) -> Result<()> {
@@ -66,7 +67,7 @@
     let peer_proof = receive(stream, PROOF_BYTES).await?;
     let expected = proof_input(side.other(), &peer_nonce, &own_nonce);
     hmac::verify(&key, &expected, &peer_proof)
-        .map_err(|_| Error::new(Code::LinkRefused, "wrong proof"))
+        .map_err(|_| Error::new(Code::LinkRefused, "the peer's proof is wrong"))
 }
 
 fn proof_input(side: LinkSide, own_nonce: &[u8], peer_nonce: &[u8]) -> Vec<u8> {
--- a/src/links/mod.rs
+++ b/src/links/mod.rs
@@ -1,7 +1,6 @@
-//! Control links between processes: authentication, calls, their messages.
+//! Control links between processes: authentication, calls and the encoding of messages.
 //!
-//! The rule that lives here: who does not know the cluster key is told nothing. What a call means stands
-//! in `controllers`.
+//! A peer that does not hold the cluster key gets no answer. `controllers` implements the calls.
 
 pub(crate) mod link;
 pub(crate) mod link_auth;
--- a/src/links/node_codec.rs
+++ b/src/links/node_codec.rs
@@ -1,4 +1,4 @@
-//! Between the messages of the control protocol and the library's own types.
+//! Converts between the messages of the control protocol and the library's own types.
 
 use std::net::Ipv4Addr;
 
@@ -13,7 +13,7 @@
 use crate::error::{Error, Result};
 use crate::node_capnp::{digest, entry, header, load_report, value};
 
-/// The most load reports that a message may hold.
+/// The most load reports that are read from a message.
 const MAX_REPORTS: u32 = 4_096;
 
 pub(crate) fn write_digest(mut builder: digest::Builder<'_>, digest: Digest) {
@@ -28,7 +28,7 @@
     }
 }
 
-/// Writes names of values and their states.
+/// Writes names and version stamps of values.
 pub(crate) fn write_entries<'a>(
     mut builder: capnp::struct_list::Builder<'_, entry::Owned>,
     entries: impl Iterator<Item = (&'a str, VersionStamp)>,
@@ -42,12 +42,12 @@
 }
 
 pub(crate) fn read_entry(reader: entry::Reader<'_>) -> Result<(String, VersionStamp)> {
-    let stamp = stamp(reader.get_revision(), reader.get_version());
-    Ok((text(reader.get_name())?, stamp))
+    let stamp = read_stamp(reader.get_revision(), reader.get_version());
+    Ok((read_text(reader.get_name())?, stamp))
 }
 
-/// Makes a stamp of its two fields on the wire.
-fn stamp(revision_bits: u64, version: u64) -> VersionStamp {
+/// Creates a stamp from its two fields in a message.
+fn read_stamp(revision_bits: u64, version: u64) -> VersionStamp {
     VersionStamp {
         revision: revision_bits.into(),
         version,
@@ -67,13 +67,13 @@
 
 pub(crate) fn read_value(reader: value::Reader<'_>) -> Result<ValueUpdate> {
     Ok(ValueUpdate {
-        name: text(reader.get_name())?,
-        stamp: stamp(reader.get_revision(), reader.get_version()),
+        name: read_text(reader.get_name())?,
+        stamp: read_stamp(reader.get_revision(), reader.get_version()),
         base: reader.get_base().into(),
         delta: Delta {
             kept_lines: reader.get_kept_lines(),
             removed_lines: reader.get_removed_lines(),
-            text: text(reader.get_text())?,
+            text: read_text(reader.get_text())?,
             digest: reader.get_digest(),
         },
     })
@@ -132,7 +132,7 @@
 ) -> Result<HeaderMap> {
     let mut headers = HeaderMap::new();
     for entry in reader {
-        let name = HeaderName::from_bytes(text(entry.get_name())?.as_bytes());
+        let name = HeaderName::from_bytes(read_text(entry.get_name())?.as_bytes());
         let value = HeaderValue::from_bytes(entry.get_value().map_err(from_capnp)?);
         if let (Ok(name), Ok(value)) = (name, value) {
             headers.append(name, value);
@@ -141,14 +141,14 @@
     Ok(headers)
 }
 
-pub(crate) fn text(reader: capnp::Result<capnp::text::Reader<'_>>) -> Result<String> {
+pub(crate) fn read_text(reader: capnp::Result<capnp::text::Reader<'_>>) -> Result<String> {
     let text = reader.map_err(from_capnp)?;
     let text = text.to_str();
     text.map(str::to_owned)
         .map_err(|error| Error::new(Code::LinkClosed, error.to_string()))
 }
 
-pub(crate) fn data(reader: capnp::Result<&[u8]>) -> Result<Bytes> {
+pub(crate) fn read_data(reader: capnp::Result<&[u8]>) -> Result<Bytes> {
     reader.map(Bytes::copy_from_slice).map_err(from_capnp)
 }
 
--- a/src/links/peer_client.rs
+++ b/src/links/peer_client.rs
@@ -1,4 +1,4 @@
-//! Calls to other processes over cached control links.
+//! A client for calls to other processes, over cached control links.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -22,23 +22,24 @@
 use crate::node_capnp::node;
 use crate::process::metrics::Metrics;
 
-/// How long a peer may take to answer a call, in milliseconds.
+/// The timeout of a call, in milliseconds.
 const CALL_TIMEOUT_MS: u64 = 1_000;
 /// The longest state dump taken from a process, in bytes.
 const MAX_STATE_BYTES: usize = 4 << 20;
 
-/// What a peer said to an offer.
+/// A peer's reply to an offer of a request.
 #[derive(Debug)]
 pub(crate) enum OfferReply {
-    /// It holds a slot and binds the request to this ticket.
+    /// The peer reserved a slot for the request under this ticket.
     Accepted(SealedBytes),
-    /// It has no room.
+    /// The peer has no room.
     Refused(Refusal),
 }
 
-/// The links of a process, made when first used and dropped when a call fails.
+/// Calls other processes over links that are opened on first use, cached, and closed when a call
+/// fails.
 pub(crate) struct PeerClient {
-    own: Ipv4Addr,
+    own_host: Ipv4Addr,
     cluster: ClusterKey,
     control_port: u16,
     metrics: Rc<Metrics>,
@@ -46,15 +47,17 @@
 }
 
 impl PeerClient {
-    /// Makes the links of the process on host `own`; an operator's client names no host.
+    /// Creates a client without open links.
+    ///
+    /// It connects from `own_host`; the operators' client, which runs on any host, passes 0.0.0.0.
     pub(crate) fn new(
-        own: Ipv4Addr,
+        own_host: Ipv4Addr,
         cluster: &ClusterKey,
         control_port: u16,
         metrics: &Rc<Metrics>,
     ) -> Self {
         Self {
-            own,
+            own_host,
             cluster: cluster.clone(),
             control_port,
             metrics: metrics.clone(),
@@ -62,12 +65,12 @@
         }
     }
 
-    /// Drops all links, as after a pause in which the other ends may have gone.
+    /// Closes all links, for instance after a pause in which the peers may have closed them.
     pub(crate) fn drop_links(&self) {
         self.links.borrow_mut().clear();
     }
 
-    /// Drops the links to hosts that `keep` rejects.
+    /// Closes the links to hosts for which `keep` returns false.
     pub(crate) fn retain_links(&self, keep: impl Fn(Ipv4Addr) -> bool) {
         self.links.borrow_mut().retain(|(host, _)| keep(*host));
     }
@@ -77,6 +80,7 @@
         self.links.borrow().iter().map(|(host, _)| *host).collect()
     }
 
+    /// Exchanges digests with a peer; returns the peer's.
     pub(crate) async fn compare(&self, host: Ipv4Addr, mine: Digest) -> Result<Digest> {
         self.call(host, CALL_TIMEOUT_MS, |client| async move {
             let mut request = client.compare_request();
@@ -87,6 +91,7 @@
         .await
     }
 
+    /// Returns the names and version stamps of the peer's values with a revision above `floor`.
     pub(crate) async fn changes(
         &self,
         host: Ipv4Addr,
@@ -105,9 +110,10 @@
         .await
     }
 
-    /// Fetches values, each against the revision that is held here, in one answer.
+    /// Fetches values; `wanted` gives the name and the revision held here of each.
     ///
-    /// Returns for how many of them the answer speaks: it is bounded, and may leave some to the next one.
+    /// Also returns how many of the wanted values the answer covers, from the first on. Its size is
+    /// limited, so the rest has to be fetched by further calls.
     pub(crate) async fn fetch(
         &self,
         host: Ipv4Addr,
@@ -118,7 +124,7 @@
             let mut request = client.fetch_request();
             let entries = request.get().init_wanted(wanted.len() as u32);
             let wanted = wanted.iter();
-            let wanted = wanted.map(|(name, have)| (&**name, VersionStamp::from(*have)));
+            let wanted = wanted.map(|(name, held)| (&**name, VersionStamp::from(*held)));
             node_codec::write_entries(entries, wanted);
             let response = request.send().promise.await?;
             let answer = response.get()?;
@@ -130,7 +136,7 @@
         .await
     }
 
-    /// Tells a value and returns the revision that the peer holds then.
+    /// Pushes a value to a peer; returns the revision that the peer holds afterwards.
     pub(crate) async fn push(&self, host: Ipv4Addr, update: &ValueUpdate) -> Result<Revision> {
         self.call(host, CALL_TIMEOUT_MS, |client| async move {
             let mut request = client.tell_request();
@@ -141,6 +147,7 @@
         .await
     }
 
+    /// Sends load reports of a service's agents; returns those that the peer knows.
     pub(crate) async fn exchange_load(
         &self,
         host: Ipv4Addr,
@@ -158,6 +165,7 @@
         .await
     }
 
+    /// Offers a request of a service to a peer, which reserves a slot or refuses.
     pub(crate) async fn offer(
         &self,
         host: Ipv4Addr,
@@ -182,7 +190,7 @@
         .await
     }
 
-    /// Asks a peer to run a request under a ticket that it issued.
+    /// Runs a request on a peer, under a ticket that the peer issued.
     pub(crate) async fn run(
         &self,
         host: Ipv4Addr,
@@ -207,7 +215,7 @@
         .await
     }
 
-    /// Tells a peer that nobody waits for the request under this ticket any more.
+    /// Cancels the request under a ticket, since its caller no longer waits.
     pub(crate) async fn cancel(&self, host: Ipv4Addr, ticket: &SealedBytes) -> Result<()> {
         self.call(host, CALL_TIMEOUT_MS, |client| async move {
             let mut request = client.cancel_request();
@@ -218,7 +226,7 @@
         .await
     }
 
-    /// Returns a process's state as JSON.
+    /// Returns the state dump of a process as JSON.
     pub(crate) async fn state(&self, host: Ipv4Addr) -> Result<String> {
         self.call(host, CALL_TIMEOUT_MS, |client| async move {
             let response = client.state_request().send().promise.await?;
@@ -231,6 +239,7 @@
         .await
     }
 
+    /// Makes one call over the link to a host, and closes the link if the call fails.
     async fn call<T, F>(
         &self,
         host: Ipv4Addr,
@@ -246,7 +255,10 @@
         let result = compio::time::timeout(timeout, exchange(link.client.clone())).await;
         let result = match result {
             Ok(result) => result.map_err(node_codec::from_capnp),
-            Err(_) => Err(Error::new(Code::LinkClosed, format!("{host}: no answer"))),
+            Err(_) => Err(Error::new(
+                Code::LinkClosed,
+                format!("{host}: no answer in time"),
+            )),
         };
         if result.is_err() {
             self.drop_link(host, &link);
@@ -254,13 +266,15 @@
         result
     }
 
+    /// Returns the cached link to a host, or opens one.
     async fn link(&self, host: Ipv4Addr) -> Result<Rc<Link>> {
         if let Some(link) = self.cached(host) {
             return Ok(link);
         }
         let address = link::control_address(host, self.control_port);
-        let link = Link::connect(self.own, address, &self.cluster, &self.metrics).await;
+        let link = Link::connect(self.own_host, address, &self.cluster, &self.metrics).await;
         let link = Rc::new(link.inspect_err(|error| self.metrics.links_refused.inc(error.code))?);
+        // Another call may have opened a link in the meantime.
         if let Some(link) = self.cached(host) {
             return Ok(link);
         }
@@ -288,12 +302,12 @@
         code: Code::from_number(reader.get_code()).unwrap_or(Code::OutcomeUnknown),
         status: reader.get_status(),
         headers: node_codec::read_headers(headers)?,
-        body: node_codec::data(reader.get_body())?,
+        body: node_codec::read_data(reader.get_body())?,
         retry_after_ms: reader.get_retry_after_ms(),
     })
 }
 
-/// Takes a ticket from the bytes of a message.
+/// Reads a ticket from a message; `None` if its length is wrong.
 pub(crate) fn ticket_bytes(bytes: &[u8]) -> Option<SealedBytes> {
     (bytes.len() == SEALED_ID_BYTES).then(|| bytes.try_into().ok())?
 }
--- a/src/links/peer_request.rs
+++ b/src/links/peer_request.rs
@@ -1,4 +1,4 @@
-//! Requests and answers on their way between agents of one service.
+//! Requests and answers that agents of one service pass to each other.
 
 use bytes::Bytes;
 use http::HeaderMap;
@@ -6,7 +6,8 @@
 use crate::code::Code;
 use crate::config::service_id::ServiceId;
 
-/// The largest body that is handed to a peer, in bytes; larger requests run where they arrived.
+/// The largest body of a request that is moved to a peer, in bytes; larger requests run where they
+/// arrived.
 pub(crate) const MAX_MOVED_BODY_BYTES: usize = 256 * 1024;
 
 /// A request that one agent asks another to run.
@@ -20,7 +21,7 @@
     pub(crate) timeout_ms: u32,
 }
 
-/// What came of it.
+/// The peer's answer to a [`PeerRequest`].
 #[derive(Debug, Clone)]
 pub(crate) struct PeerAnswer {
     pub(crate) code: Code,
