--- a/tests/hostile_input.rs
+++ b/tests/hostile_input.rs
@@ -1,4 +1,4 @@
-//! Truncated, oversized, forged and replayed input is counted out, never a panic.
+//! Truncated, forged or malformed input is rejected with its code and never makes a process panic.
 
 mod common;
 
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn envelopes_come_back_as_they_went() {
+fn an_opened_envelope_equals_the_sealed_one() {
     for packet in [&b""[..], b"short", &[9; 1_400]] {
         let datagram = sealed(packet);
         assert_eq!(datagram.len(), packet.len() + ENVELOPE_BYTES);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn envelopes_of_another_cluster_are_forged() {
+fn envelopes_of_another_cluster_are_rejected() {
     let other = EnvelopeKey::new(&ClusterKey::new([8; 32]));
     let error = other.open(&sealed(b"packet")).expect_err("forged");
     assert_eq!(error.code, Code::EnvelopeForged);
@@ -80,12 +80,12 @@
 }
 
 #[test]
-fn rotated_keys_overlap() {
+fn a_key_rotation_opens_tokens_of_both_epochs() {
     let key = cluster_key();
     let ring = |text: &str| KeyRing::parse(&key, &format!("epoch,salt,state\n{text}"));
-    let before = ring("1,one,seal\n").expect("sound");
-    let during = ring("1,one,open\n2,two,seal\n").expect("sound");
-    let after = ring("2,two,seal\n").expect("sound");
+    let before = ring("1,one,seal\n").expect("valid");
+    let during = ring("1,one,open\n2,two,seal\n").expect("valid");
+    let after = ring("2,two,seal\n").expect("valid");
     let service = ServiceId::from_name("panel-front");
     let token = SealedId {
         host: Ipv4Addr::new(10, 0, 0, 1),
@@ -107,7 +107,7 @@
         SealedId::open(&after, SealedIdKind::Token, service, &old),
         None
     );
-    for bad in [
+    for invalid in [
         "",
         "1,a,seal\n2,b,seal\n",
         "1,a,seal\n1,b,open\n",
@@ -115,60 +115,64 @@
         "1,a\n",
     ] {
         assert_eq!(
-            ring(bad).expect_err("unsound").code,
+            ring(invalid).expect_err("invalid").code,
             Code::KeysSyntax,
-            "{bad:?}"
+            "{invalid:?}"
         );
     }
 }
 
 #[test]
 fn settings_errors_name_the_line() {
-    let good = format!(
+    let valid = format!(
         "[process]\nhost = 10.0.0.1\nzone = a\n[platform]\naddress = 10.0.0.9:80\n[keys]\ncluster = {}\n",
         "ab".repeat(32)
     );
-    assert!(Settings::parse(&good).is_ok());
+    assert!(Settings::parse(&valid).is_ok());
     let cases = [
         (
-            good.replace("zone = a", "zone = A B"),
+            valid.replace("zone = a", "zone = A B"),
             Code::SettingsValue,
             "line 3",
         ),
         (
-            good.replace("zone = a", "zome = a"),
+            valid.replace("zone = a", "zome = a"),
             Code::SettingsUnknown,
             "line 3",
         ),
         (
-            good.replace("host = 10.0.0.1\n", ""),
+            valid.replace("host = 10.0.0.1\n", ""),
             Code::SettingsMissing,
             "host",
         ),
-        (good.replace("ababab", "xyz"), Code::SettingsValue, "line 7"),
         (
-            format!("{good}[network]\ncontrol_port = 70000\n"),
+            valid.replace("ababab", "xyz"),
+            Code::SettingsValue,
+            "line 7",
+        ),
+        (
+            format!("{valid}[network]\ncontrol_port = 70000\n"),
             Code::SettingsValue,
             "line 9",
         ),
         (
-            format!("{good}[agent]\ndrain_limit_s = 0\n"),
+            format!("{valid}[agent]\ndrain_limit_s = 0\n"),
             Code::SettingsValue,
             "line 9",
         ),
         (
-            format!("{good}[log]\nlevel = loud\n"),
+            format!("{valid}[log]\nlevel = loud\n"),
             Code::SettingsValue,
             "line 9",
         ),
         (
-            format!("{good}[peers]\nseeds = 10.0.0.2,b\n"),
+            format!("{valid}[peers]\nseeds = 10.0.0.2,b\n"),
             Code::SettingsValue,
             "line 9",
         ),
     ];
     for (text, code, place) in cases {
-        let error = Settings::parse(&text).expect_err("unsound settings");
+        let error = Settings::parse(&text).expect_err("invalid settings");
         assert_eq!(error.code, code, "{error}");
         assert!(error.message.contains(place), "{error}");
         assert!(
@@ -180,7 +184,7 @@
 
 proptest! {
     #[test]
-    fn any_changed_byte_of_an_envelope_is_noticed(
+    fn an_envelope_with_a_changed_byte_is_rejected(
         packet in proptest::collection::vec(any::<u8>(), 0..64),
         at: prop::sample::Index,
         flip in 1u8..,
@@ -192,7 +196,7 @@
     }
 
     #[test]
-    fn any_cut_of_an_envelope_is_noticed(
+    fn a_truncated_envelope_is_rejected(
         packet in proptest::collection::vec(any::<u8>(), 0..200),
         at: prop::sample::Index,
     ) {
@@ -202,7 +206,7 @@
     }
 
     #[test]
-    fn any_datagram_is_routed_or_dropped(datagram in proptest::collection::vec(any::<u8>(), 0..100)) {
+    fn no_datagram_makes_parsing_or_steering_panic(datagram in proptest::collection::vec(any::<u8>(), 0..100)) {
         let _ = parse_packet(&datagram);
         let _ = EnvelopeKey::new(&cluster_key()).open(&datagram);
         let text = common::table_text("panel-front", &[1, 1], 9);
@@ -212,14 +216,14 @@
     }
 
     #[test]
-    fn any_token_bytes_are_refused(bytes in proptest::collection::vec(any::<u8>(), 0..24)) {
+    fn random_bytes_do_not_open_as_a_token(bytes in proptest::collection::vec(any::<u8>(), 0..24)) {
         let ring = KeyRing::initial(&cluster_key());
         let service = ServiceId::from_name("panel-front");
         prop_assert_eq!(SealedId::open(&ring, SealedIdKind::Token, service, &bytes), None);
     }
 
     #[test]
-    fn any_delta_applies_right_or_is_refused(
+    fn a_delta_yields_the_text_of_its_digest_or_is_rejected(
         old in "([a-c]\n?){0,20}",
         kept_lines in 0u32..30,
         removed_lines: u32,
@@ -233,7 +237,7 @@
     }
 
     #[test]
-    fn any_published_text_is_taken_or_rejected(text in "[ -~\n]{0,200}") {
+    fn no_published_text_makes_a_parser_panic(text in "[ -~\n]{0,200}") {
         let _ = HostList::parse(&text);
         let _ = HostList::parse(&format!("host,zone,role,state\n{text}"));
         let _ = KeyRing::parse(&cluster_key(), &text);
--- a/tests/local_facts.rs
+++ b/tests/local_facts.rs
@@ -1,4 +1,5 @@
-//! Local facts: who is suspected, who answers, what a pause makes of what was known.
+//! Decisions that a process makes from its own observations: routing of packets, suspicion of
+//! silent hosts, return paths, timers after a pause, and the retry budget.
 
 mod common;
 
@@ -12,7 +13,7 @@
 
 const SERVICE: &str = "panel-front";
 
-/// A QUIC version 1 packet with a long header of this type.
+/// Returns a QUIC version 1 packet with a long header of this type.
 fn long_packet(packet_type: u8, id: &[u8]) -> Vec<u8> {
     let mut packet = vec![0xc0 | (packet_type << 4), 0, 0, 0, 1, id.len() as u8];
     packet.extend_from_slice(id);
@@ -21,7 +22,7 @@
 }
 
 #[test]
-fn packets_go_to_the_token_and_openers_to_the_owner() {
+fn packets_follow_their_token_and_openers_go_to_the_owner() {
     let text = table_text(SERVICE, &[100, 100, 100], 9);
     let store = store(&[("table/panel-front", 1, &text)]);
     let service = ServiceId::from_name(SERVICE);
@@ -37,7 +38,8 @@
     short.extend_from_slice(&token);
     short.resize(60, 0);
     let route = |packet: &[u8]| steer(&store, &Suspicion::default(), service, packet, 0);
-    // A host that neither the table nor the host list knows is followed all the same.
+    // A packet goes to the host of its token, even if neither the table nor the host list has that
+    // host.
     for packet in [short, long_packet(0, &token), long_packet(2, &token)] {
         let route = route(&packet).expect("a route");
         assert_eq!((route.host, route.opens), (gone, false));
@@ -61,13 +63,13 @@
         0,
     );
     assert_eq!(
-        crossed.expect_err("never to another service").code,
+        crossed.expect_err("a token of another service").code,
         Code::PacketUnroutable
     );
 }
 
 #[test]
-fn a_silent_owner_is_passed_over_for_a_while() {
+fn a_silent_owner_is_skipped_until_its_suspicion_expires() {
     let text = table_text(SERVICE, &[100, 100, 100], 9);
     let store = store(&[("table/panel-front", 1, &text)]);
     let service = ServiceId::from_name(SERVICE);
@@ -83,14 +85,14 @@
     assert_eq!(
         choose(&suspicion, late_ms + SUSPICION_MS),
         Ok(first),
-        "tried again"
+        "the suspicion expired"
     );
     suspicion.suspect(first, late_ms);
     suspicion.answered(first);
     assert_eq!(
         choose(&suspicion, late_ms),
         Ok(first),
-        "an answer ends it at once"
+        "an answer ends the suspicion at once"
     );
     for index in 0..3 {
         suspicion.suspect(host(index), late_ms);
@@ -98,43 +100,43 @@
     assert_eq!(
         choose(&suspicion, late_ms),
         Ok(first),
-        "all suspected is nobody suspected"
+        "if all are suspected, suspicion is ignored"
     );
     suspicion.prune(late_ms + SUSPICION_MS);
     assert!(suspicion.suspected(late_ms).is_empty());
 }
 
 #[test]
-fn answers_leave_a_dead_balancer() {
+fn answers_avoid_balancers_that_are_silent_or_leave() {
     let (a, b) = (host(0), host(1));
     let listed = [a, b];
     let mut path = ReturnPath::default();
     path.heard(a, 0);
     path.heard(b, 0);
-    assert_eq!(path.choose(a, 100, &listed), a, "a live one is kept");
+    assert_eq!(path.choose(a, 100, &listed), a, "a live balancer is kept");
     path.heard(b, 400);
     assert_eq!(
         path.choose(a, 400, &listed),
         b,
-        "silent while another is heard"
+        "the first is silent, the other is not"
     );
     path.heard(a, 500);
-    assert_eq!(path.choose(a, 500, &listed), a, "heard again");
+    assert_eq!(path.choose(a, 500, &listed), a, "the first sends again");
     path.leaving(a);
-    assert_eq!(path.choose(a, 500, &listed), b, "it said that it stops");
+    assert_eq!(path.choose(a, 500, &listed), b, "the first leaves");
     let tried = [
         path.choose(b, 2_000, &listed),
         path.choose(b, 2_000, &listed),
     ];
     assert!(
         tried.contains(&a) && tried.contains(&b),
-        "all silent: each in turn"
+        "all are silent: they are tried in turn"
     );
     assert_eq!(ReturnPath::default().choose(a, 0, &[]), a);
 }
 
 #[test]
-fn a_pause_is_told_before_what_fell_due_in_it() {
+fn a_pause_is_reported_before_the_timers_that_fell_due_in_it() {
     let mut timer = TimerService::new(0);
     let id = timer.subscribe(100, 50);
     assert_eq!(timer.wait_ms(), 50);
@@ -144,11 +146,11 @@
     let late_ms = 150 + PAUSE_MS + 1;
     let gap_ms = PAUSE_MS + 1;
     let events = [TimerEvent::Resumed { gap_ms }, TimerEvent::Due(id)];
-    assert_eq!(timer.advance(late_ms), events, "due once, after the pause");
+    assert_eq!(timer.advance(late_ms), events, "the timer is due once");
 }
 
 #[test]
-fn retries_are_a_part_of_the_requests() {
+fn retries_are_limited_to_a_tenth_of_the_requests() {
     let mut budget = RetryBudget::new();
     let mut retries = 0;
     for _ in 0..1_000 {
@@ -159,7 +161,7 @@
 }
 
 #[test]
-fn an_initial_ring_seals_for_every_process_alike() {
+fn initial_key_rings_of_one_cluster_open_each_others_ids() {
     let key = common::cluster_key();
     let token = SealedId {
         host: host(0),
--- a/tests/opaque/route_table.rs
+++ b/tests/opaque/route_table.rs
@@ -1,4 +1,5 @@
-//! Which service takes a flow.
+//! The published routes: how new flows are split among services, and what an edit of routes
+//! changes.
 
 use endivedyke::opaque::{ROUTES_HEADER, RouteTable, route_changes};
 use endivedyke::{Code, ServiceId};
@@ -12,7 +13,7 @@
 
 #[test]
 fn new_flows_are_split_by_weight() {
-    let table = routes("192.0.2.1:443,a,90,2,yes\n192.0.2.1:443,b,10,2,yes\n").expect("sound");
+    let table = routes("192.0.2.1:443,a,90,2,yes\n192.0.2.1:443,b,10,2,yes\n").expect("valid");
     let route = table
         .get("192.0.2.1:443".parse().expect("address"))
         .expect("route");
@@ -24,13 +25,13 @@
 }
 
 #[test]
-fn a_route_without_weight_takes_nothing() {
-    let table = routes("192.0.2.1:443,a,0,2,yes\n").expect("sound");
+fn a_route_without_weight_takes_no_flows() {
+    let table = routes("192.0.2.1:443,a,0,2,yes\n").expect("valid");
     assert_eq!(table.all()[0].select_service(1), None);
 }
 
 #[test]
-fn malformed_routes_are_refused_with_their_code() {
+fn malformed_routes_are_rejected_with_their_code() {
     let cases = [
         "192.0.2.1,a,1,2,yes",
         "192.0.2.1:443,a,1,2",
@@ -47,9 +48,9 @@
 }
 
 #[test]
-fn a_route_is_urgent_beside_one_that_is_less_so_on_the_same_service() {
+fn a_route_is_urgent_if_its_service_also_takes_a_less_urgent_route() {
     let rows = "192.0.2.1:443,a,1,1,yes\n192.0.2.2:443,a,1,2,yes\n192.0.2.3:443,b,1,1,yes\n192.0.2.4:443,c,1,2,yes\n";
-    let table = routes(rows).expect("sound");
+    let table = routes(rows).expect("valid");
     let urgent: Vec<bool> = table
         .all()
         .iter()
@@ -59,23 +60,23 @@
 }
 
 #[test]
-fn what_may_not_run_twice_is_risked_only_where_there_is_nothing_else() {
+fn requests_that_may_not_run_twice_probe_only_if_the_service_has_no_others() {
     let rows = "192.0.2.1:443,a,1,1,no\n192.0.2.2:443,a,1,2,yes\n192.0.2.3:443,b,1,1,no\n";
-    let table = routes(rows).expect("sound");
-    let risked = table.all().iter().map(|route| {
+    let table = routes(rows).expect("valid");
+    let may_probe = table.all().iter().map(|route| {
         let service = route.shares[0].service;
         table.may_probe(route.address, service)
     });
-    assert_eq!(risked.collect::<Vec<_>>(), [false, true, true]);
+    assert_eq!(may_probe.collect::<Vec<_>>(), [false, true, true]);
 }
 
-/// A service, its share before and after, and a part of what is said to follow.
-type Part = (&'static str, f64, f64, &'static str);
+/// A service, its share before and after, and a part of the text of the change's effect.
+type ExpectedChange = (&'static str, f64, f64, &'static str);
 
 #[test]
-fn an_edit_is_predicted_for_each_part_of_a_route() {
+fn a_diff_lists_every_changed_share_with_its_effect() {
     const ONE: &str = "192.0.2.1:443,old,1,1,yes\n";
-    let cases: &[(&str, &str, &[Part])] = &[
+    let cases: &[(&str, &str, &[ExpectedChange])] = &[
         (ONE, ONE, &[]),
         (ONE, "", &[("old", 1.0, 0.0, "open flows are reset")]),
         ("", ONE, &[("old", 0.0, 1.0, "served from now on")]),
@@ -119,7 +120,7 @@
     ];
     for (old, new, expected) in cases {
         let text = |rows: &str| format!("{ROUTES_HEADER}\n{rows}");
-        let changes = route_changes(&text(old), &text(new)).expect("sound");
+        let changes = route_changes(&text(old), &text(new)).expect("valid");
         assert_eq!(
             changes.len(),
             expected.len(),
--- a/tests/revisions.rs
+++ b/tests/revisions.rs
@@ -1,4 +1,5 @@
-//! Values in force never go back, whatever order they come in and however they travel.
+//! Values in force never go back to an older revision, in whatever order and by whatever way they
+//! arrive.
 
 mod common;
 
@@ -15,7 +16,8 @@
     table_text("panel-front", &[weight, 100, 100], 2_000)
 }
 
-/// A published revision: every fifth one is unsound and must be rejected everywhere alike.
+/// Returns the text of a published revision. Every fifth one is invalid and must be rejected by
+/// every process.
 fn published(revision: u64) -> String {
     if revision.is_multiple_of(5) {
         return text(1).replace("10.0.0.1,", "nowhere,");
@@ -23,8 +25,8 @@
     text(revision as u32)
 }
 
-/// The plain version: the highest sound revision of those seen.
-fn naive_in_force(seen: &[u64]) -> u64 {
+/// Returns the highest valid revision, as a reference to compare the store with.
+fn highest_valid(seen: &[u64]) -> u64 {
     seen.iter()
         .copied()
         .filter(|revision| !revision.is_multiple_of(5))
@@ -33,13 +35,13 @@
 }
 
 #[test]
-fn an_unsound_value_leaves_the_one_in_force() {
+fn an_invalid_value_leaves_the_old_one_in_force() {
     let mut store = ConfigStore::new(&cluster_key());
     assert_eq!(
         store.accept(NAME, 4, &published(4)),
         Ok(AcceptOutcome::Accepted)
     );
-    let error = store.accept(NAME, 5, &published(5)).expect_err("unsound");
+    let error = store.accept(NAME, 5, &published(5)).expect_err("invalid");
     assert_eq!(error.code, Code::TableAddress);
     assert_eq!(store.revision(NAME), 4.into());
     assert_eq!(
@@ -48,7 +50,7 @@
     );
     assert!(
         !store.is_new_state(NAME, 5),
-        "a rejected revision is not asked for again"
+        "a rejected revision is not fetched again"
     );
     assert_eq!(
         store.accept(NAME, 3, &published(3)),
@@ -61,19 +63,19 @@
 }
 
 #[test]
-fn a_value_must_hold_the_service_it_is_named_after() {
+fn values_of_another_service_or_above_the_size_limit_are_rejected() {
     let mut store = ConfigStore::new(&cluster_key());
     let error = store
         .accept("table/other", 1, &text(1))
-        .expect_err("unsound");
+        .expect_err("invalid");
     assert_eq!(error.code, Code::TableMixed);
     let large = "x".repeat((1 << 20) + 1);
-    let error = store.accept("notes", 1, &large).expect_err("unsound");
+    let error = store.accept("notes", 1, &large).expect_err("too large");
     assert_eq!(error.code, Code::ValueTooLarge);
 }
 
 #[test]
-fn an_edit_of_one_row_travels_as_one_row() {
+fn the_delta_of_an_edited_row_holds_one_row() {
     let old = table_text("panel-front", &vec![100; 500], 2_000);
     let new = old.replacen(
         "t0250,10.0.1.1,10.0.1.1:8080,100",
@@ -87,12 +89,12 @@
 }
 
 #[test]
-fn readers_are_few_and_the_same_on_every_host() {
+fn readers_and_peers_are_selected_from_the_host_list() {
     let mut text = format!("{HOSTS_HEADER}\n");
     for index in 0..60 {
         text += &format!("{},zone-{},backend,live\n", host(index), index % 3);
     }
-    let hosts = HostList::parse(&text).expect("sound");
+    let hosts = HostList::parse(&text).expect("valid");
     let chosen = select_readers(&hosts, "zone-1", |_| true);
     assert_eq!(chosen.len(), 3);
     let without_first = select_readers(&hosts, "zone-1", |address| address != chosen[0]);
@@ -104,22 +106,22 @@
 
 proptest! {
     #[test]
-    fn revisions_only_rise_in_any_order(order in proptest::collection::vec(1u64..40, 1..60)) {
+    fn revisions_in_force_only_rise_in_any_order_of_arrival(order in proptest::collection::vec(1u64..40, 1..60)) {
         let mut store = ConfigStore::new(&cluster_key());
         let mut highest = Revision::ZERO;
         for (index, revision) in order.iter().enumerate() {
             let _ = store.accept(NAME, *revision, &published(*revision));
             let held = store.revision(NAME);
-            prop_assert!(held >= highest, "went back from {} to {}", highest, held);
+            prop_assert!(held >= highest, "went back from revision {} to {}", highest, held);
             highest = held;
-            prop_assert_eq!(held, naive_in_force(&order[..=index]).into());
+            prop_assert_eq!(held, highest_valid(&order[..=index]).into());
         }
     }
 
     #[test]
-    fn peers_that_tell_each_other_end_level(
+    fn peers_that_exchange_updates_end_with_the_same_values(
         edits in proptest::collection::vec((0usize..4, 0u32..3), 1..20),
-        tells in proptest::collection::vec((0usize..4, 0usize..4), 0..60),
+        pushes in proptest::collection::vec((0usize..4, 0usize..4), 0..60),
     ) {
         let names = ["table/panel-front", "notes", "plan"];
         let mut stores: Vec<ConfigStore> =
@@ -130,9 +132,10 @@
             let accepted = stores[*at].accept(name, revision as u64 + 1, &value);
             prop_assert_eq!(accepted, Ok(AcceptOutcome::Accepted));
         }
-        // Lost and doubled messages: any pairs tell any others, then one full round.
+        // Lost and duplicate messages: random pairs of stores exchange updates first, then every
+        // pair twice.
         let round = (0..4).flat_map(|from| (0..4).map(move |to| (from, to)));
-        let rounds: Vec<(usize, usize)> = tells.into_iter().chain(round.clone()).chain(round).collect();
+        let rounds: Vec<(usize, usize)> = pushes.into_iter().chain(round.clone()).chain(round).collect();
         for (from, to) in rounds {
             let changes: Vec<String> = stores[from]
                 .changes_since(Revision::ZERO)
@@ -153,15 +156,15 @@
     }
 
     #[test]
-    fn deltas_make_the_new_text(old in "([ab]{0,2}\n){0,12}", new in "([ab]{0,2}\n){0,12}[ab]?") {
+    fn a_delta_turns_the_old_text_into_the_new_one(old in "([ab]{0,2}\n){0,12}", new in "([ab]{0,2}\n){0,12}[ab]?") {
         prop_assert_eq!(Delta::between(&old, &new).apply(&old), Ok(new));
     }
 }
 
 #[test]
-fn a_revision_shows_its_era_and_number() {
-    let of_later_era = Revision::new(3, 41).expect("fits");
-    assert_eq!(format!("{of_later_era}"), "3.41");
-    assert_eq!(format!("{of_later_era:?}"), "3.41");
+fn a_revision_is_written_as_era_and_number() {
+    let revision = Revision::new(3, 41).expect("fits");
+    assert_eq!(format!("{revision}"), "3.41");
+    assert_eq!(format!("{revision:?}"), "3.41");
     assert_eq!(format!("{:?}", Revision::from(41)), "41");
 }
--- a/tests/table.rs
+++ b/tests/table.rs
@@ -1,4 +1,4 @@
-//! Tables are taken whole or rejected whole, with the place and the number of the fault.
+//! An invalid table is rejected as a whole, with the line, column and code of the error.
 
 mod common;
 
@@ -6,20 +6,23 @@
 use endivedyke::{Code, TABLE_HEADER, Table, TableDiff, parse_tables};
 use proptest::prelude::*;
 
-const GOOD: &str = "front,192.0.2.1:443,a,10.0.0.1,10.0.0.1:80,100,4,2000";
+const VALID_ROW: &str = "front,192.0.2.1:443,a,10.0.0.1,10.0.0.1:80,100,4,2000";
 
-fn error_of(rows: &[&str]) -> endivedyke::Error {
+fn parse_error(rows: &[&str]) -> endivedyke::Error {
     let text = format!("{TABLE_HEADER}\n{}\n", rows.join("\n"));
-    parse_tables(&text).expect_err("a bad table")
+    parse_tables(&text).expect_err("invalid table")
 }
 
 #[test]
-fn bad_rows_name_their_place() {
+fn errors_name_line_and_column() {
     let cases: &[(&[&str], Code, &str)] = &[
         (&[], Code::TableEmpty, ""),
         (&["front,192.0.2.1:443"], Code::TableSyntax, "line 2"),
         (
-            &[GOOD, "front,192.0.2.1:443,b,10.0.0.2,10.0.0.2:80,-1,4,9"],
+            &[
+                VALID_ROW,
+                "front,192.0.2.1:443,b,10.0.0.2,10.0.0.2:80,-1,4,9",
+            ],
             Code::TableNumber,
             "line 3, column weight",
         ),
@@ -63,19 +66,28 @@
             Code::TableName,
             "column target",
         ),
-        (&[GOOD, GOOD], Code::TableDuplicate, "target a"),
+        (&[VALID_ROW, VALID_ROW], Code::TableDuplicate, "target a"),
         (
-            &[GOOD, "front,192.0.2.1:443,b,10.0.0.1,10.0.0.1:81,1,1,1"],
+            &[
+                VALID_ROW,
+                "front,192.0.2.1:443,b,10.0.0.1,10.0.0.1:81,1,1,1",
+            ],
             Code::TableDuplicate,
             "host 10.0.0.1",
         ),
         (
-            &[GOOD, "front,192.0.2.2:443,b,10.0.0.2,10.0.0.2:80,1,1,1"],
+            &[
+                VALID_ROW,
+                "front,192.0.2.2:443,b,10.0.0.2,10.0.0.2:80,1,1,1",
+            ],
             Code::TableMixed,
             "column address",
         ),
         (
-            &[GOOD, "intake,192.0.2.1:443,b,10.0.0.2,10.0.0.2:80,1,1,1"],
+            &[
+                VALID_ROW,
+                "intake,192.0.2.1:443,b,10.0.0.2,10.0.0.2:80,1,1,1",
+            ],
             Code::TableDuplicate,
             "two services",
         ),
@@ -86,20 +98,20 @@
         ),
     ];
     for (rows, code, place) in cases {
-        let error = error_of(rows);
+        let error = parse_error(rows);
         assert_eq!(error.code, *code, "{rows:?}: {error}");
         assert!(error.message.contains(place), "{rows:?}: {error}");
     }
 }
 
 #[test]
-fn header_must_match() {
-    let error = parse_tables("service,target\n").expect_err("a bad header");
+fn a_table_without_the_header_is_rejected() {
+    let error = parse_tables("service,target\n").expect_err("wrong header");
     assert_eq!(error.code, Code::TableHeader);
 }
 
 #[test]
-fn diff_predicts_each_change() {
+fn a_diff_lists_every_changed_target_with_its_effect() {
     let old = Table::parse(&table_text("front", &[100, 100], 2_000)).expect("old");
     let new = Table::parse(&table_text("front", &[300, 100, 0], 2_000)).expect("new");
     let diff = TableDiff::between(Some(&old), Some(&new));
@@ -116,9 +128,10 @@
             .changes
             .is_empty()
     );
-    let gone = TableDiff::between(Some(&old), None);
+    let removed = TableDiff::between(Some(&old), None);
     assert!(
-        gone.changes
+        removed
+            .changes
             .iter()
             .all(|change| change.effect.contains("drains"))
     );
@@ -126,7 +139,7 @@
 
 proptest! {
     #[test]
-    fn any_text_is_taken_or_rejected_without_a_panic(text in "[ -~\n]{0,400}") {
+    fn no_text_makes_the_parser_panic(text in "[ -~\n]{0,400}") {
         let _ = parse_tables(&text);
         let _ = parse_tables(&format!("{TABLE_HEADER}\n{text}"));
     }
