--- a/src/config/config_store.rs
+++ b/src/config/config_store.rs
@@ -87,7 +87,7 @@
 /// whatever order values arrive.
 #[derive(Debug)]
 pub struct ConfigStore {
-    cluster: ClusterKey,
+    cluster_key: ClusterKey,
     values: Vec<StoredValue>,
     tables: Vec<(ServiceId, Table)>,
     hosts: HostList,
@@ -98,7 +98,7 @@
     settled_era: u64,
 }
 
-enum Parsed {
+enum ParsedValue {
     Table(Table),
     Hosts(HostList),
     Keys(KeyRing),
@@ -107,13 +107,13 @@
 
 impl ConfigStore {
     /// Creates an empty store.
-    pub fn new(cluster: &ClusterKey) -> Self {
+    pub fn new(cluster_key: &ClusterKey) -> Self {
         Self {
-            cluster: cluster.clone(),
+            cluster_key: cluster_key.clone(),
             values: Vec::new(),
             tables: Vec::new(),
             hosts: HostList::default(),
-            key_ring: KeyRing::initial(cluster),
+            key_ring: KeyRing::initial(cluster_key),
             digest: Digest::default(),
             settled_era: 0,
         }
@@ -278,7 +278,7 @@
         self.settled_era = self.settled_era.max(era);
     }
 
-    fn parse(&self, name: &str, text: &str) -> Result<Parsed> {
+    fn parse(&self, name: &str, text: &str) -> Result<ParsedValue> {
         if text.len() > MAX_VALUE_BYTES {
             return Err(Error::new(Code::ValueTooLarge, name));
         }
@@ -288,28 +288,28 @@
                 let message = format!("value {name} holds service {}", table.service);
                 return Err(Error::new(Code::TableMixed, message));
             }
-            return Ok(Parsed::Table(table));
+            return Ok(ParsedValue::Table(table));
         }
         if name.starts_with(BACKEND_PREFIX) {
             BackendValue::parse(text)?;
-            return Ok(Parsed::Other);
+            return Ok(ParsedValue::Other);
         }
         match name {
             ROUTES_NAME => {
                 RouteTable::parse(text)?;
-                Ok(Parsed::Other)
+                Ok(ParsedValue::Other)
             }
             COLD_STARTS_NAME => {
                 cold_starts::parse_cold_starts(text)?;
-                Ok(Parsed::Other)
+                Ok(ParsedValue::Other)
             }
             DEADLINES_NAME => {
                 deadlines::parse_deadlines(text)?;
-                Ok(Parsed::Other)
+                Ok(ParsedValue::Other)
             }
-            HOSTS_NAME => Ok(Parsed::Hosts(HostList::parse(text)?)),
-            KEYS_NAME => Ok(Parsed::Keys(KeyRing::parse(&self.cluster, text)?)),
-            _ => Ok(Parsed::Other),
+            HOSTS_NAME => Ok(ParsedValue::Hosts(HostList::parse(text)?)),
+            KEYS_NAME => Ok(ParsedValue::Keys(KeyRing::parse(&self.cluster_key, text)?)),
+            _ => Ok(ParsedValue::Other),
         }
     }
 
@@ -339,12 +339,12 @@
         value.rejected = rejected.filter(|rejection| rejection.revision > revision);
     }
 
-    fn apply(&mut self, parsed: Parsed) {
+    fn apply(&mut self, parsed: ParsedValue) {
         match parsed {
-            Parsed::Table(table) => self.put_table(table),
-            Parsed::Hosts(hosts) => self.hosts = hosts,
-            Parsed::Keys(ring) => self.key_ring = ring,
-            Parsed::Other => {}
+            ParsedValue::Table(table) => self.put_table(table),
+            ParsedValue::Hosts(hosts) => self.hosts = hosts,
+            ParsedValue::Keys(ring) => self.key_ring = ring,
+            ParsedValue::Other => {}
         }
     }
 
--- a/src/config/keys.rs
+++ b/src/config/keys.rs
@@ -85,9 +85,9 @@
 
 impl KeyRing {
     /// Creates the key ring that is used until the platform has published an epoch.
-    pub fn initial(cluster: &ClusterKey) -> Self {
+    pub fn initial(cluster_key: &ClusterKey) -> Self {
         Self {
-            epochs: vec![epoch_keys(cluster, 0, "")],
+            epochs: vec![epoch_keys(cluster_key, 0, "")],
             sealing_index: 0,
         }
     }
@@ -97,7 +97,7 @@
     /// # Errors
     ///
     /// Returns code 2201 with what is malformed.
-    pub fn parse(cluster: &ClusterKey, text: &str) -> Result<Self> {
+    pub fn parse(cluster_key: &ClusterKey, text: &str) -> Result<Self> {
         let mut lines = text.lines();
         if lines.next() != Some(KEYS_HEADER) {
             return Err(Error::new(Code::KeysSyntax, "line 1 is not the header"));
@@ -106,7 +106,7 @@
         let mut sealing_epochs = Vec::new();
         for line in lines.filter(|line| !line.trim().is_empty()) {
             let (epoch, salt, seals) = parse_line(line)?;
-            epochs.push(epoch_keys(cluster, epoch, salt));
+            epochs.push(epoch_keys(cluster_key, epoch, salt));
             if seals {
                 sealing_epochs.push(epoch);
             }
@@ -153,11 +153,11 @@
     }
 }
 
-fn epoch_keys(cluster: &ClusterKey, epoch: u8, salt: &str) -> EpochKeys {
+fn epoch_keys(cluster_key: &ClusterKey, epoch: u8, salt: &str) -> EpochKeys {
     let salt = format!("{epoch}:{salt}");
     EpochKeys {
         epoch,
-        token: Aes128::new(&cluster.derive_short("routing token", &salt).into()),
-        ticket: Aes128::new(&cluster.derive_short("ticket", &salt).into()),
+        token: Aes128::new(&cluster_key.derive_short("routing token", &salt).into()),
+        ticket: Aes128::new(&cluster_key.derive_short("ticket", &salt).into()),
     }
 }
--- a/src/config/table.rs
+++ b/src/config/table.rs
@@ -157,7 +157,7 @@
         self.record.get(column).unwrap_or("")
     }
 
-    fn name(&self, column: usize, title: &str) -> Result<String> {
+    fn parse_name(&self, column: usize, title: &str) -> Result<String> {
         let name = self.field(column);
         if !is_valid_name(name) {
             return Err(self.error(Code::TableName, title, &format!("{name:?}")));
@@ -165,7 +165,7 @@
         Ok(name.to_owned())
     }
 
-    fn number(&self, column: usize, title: &str, least: u32, most: u32) -> Result<u32> {
+    fn parse_number(&self, column: usize, title: &str, least: u32, most: u32) -> Result<u32> {
         let field = self.field(column);
         let number = field.parse::<u32>().ok();
         number
@@ -176,7 +176,7 @@
             })
     }
 
-    fn parsed<T: std::str::FromStr>(&self, column: usize, title: &str) -> Result<T> {
+    fn parse_address<T: std::str::FromStr>(&self, column: usize, title: &str) -> Result<T> {
         let field = self.field(column);
         field
             .parse()
@@ -206,17 +206,17 @@
         let what = format!("{} columns instead of {COLUMNS}", record.record.len());
         return Err(record.error(Code::TableSyntax, "all", &what));
     }
-    let service = record.name(0, "service")?;
-    let address: SocketAddr = record.parsed(1, "address")?;
-    let target = record.name(2, "target")?;
+    let service = record.parse_name(0, "service")?;
+    let address: SocketAddr = record.parse_address(1, "address")?;
+    let target = record.parse_name(2, "target")?;
     let row = TableRow {
         target_hash: hash::name_hash(&target),
         target,
-        host: record.parsed(3, "host")?,
-        backend: record.parsed(4, "backend")?,
-        weight: record.number(5, "weight", 0, MAX_WEIGHT)?,
-        slots: record.number(6, "slots", 1, MAX_LIMIT)?,
-        connections: record.number(7, "connections", 1, MAX_LIMIT)?,
+        host: record.parse_address(3, "host")?,
+        backend: record.parse_address(4, "backend")?,
+        weight: record.parse_number(5, "weight", 0, MAX_WEIGHT)?,
+        slots: record.parse_number(6, "slots", 1, MAX_LIMIT)?,
+        connections: record.parse_number(7, "connections", 1, MAX_LIMIT)?,
     };
     let index = tables.iter().rposition(|table| table.service == service);
     let Some(index) = index else {
--- a/src/controllers/node_server.rs
+++ b/src/controllers/node_server.rs
@@ -82,8 +82,8 @@
 ) {
     // An error is ignored, since calls work without the option, only slower.
     let _ = stream.set_nodelay(true);
-    let cluster = &control.settings.cluster_key;
-    if let Err(error) = link_auth::authenticate(&mut stream, cluster, LinkSide::Server).await {
+    let cluster_key = &control.settings.cluster_key;
+    if let Err(error) = link_auth::authenticate(&mut stream, cluster_key, LinkSide::Server).await {
         record_refused(control, peer, &error);
         return;
     }
--- a/src/links/link.rs
+++ b/src/links/link.rs
@@ -36,7 +36,7 @@
     pub(crate) async fn connect(
         own_host: Ipv4Addr,
         address: SocketAddr,
-        cluster: &ClusterKey,
+        cluster_key: &ClusterKey,
         metrics: &Rc<Metrics>,
     ) -> Result<Link> {
         let timeout = Duration::from_millis(CONNECT_TIMEOUT_MS);
@@ -45,7 +45,7 @@
         let stream = connected.map_err(|_| closed("timed out".to_owned()))?;
         let mut stream = stream.map_err(|error| closed(error.to_string()))?;
         stream.set_nodelay(true)?;
-        link_auth::authenticate(&mut stream, cluster, LinkSide::Client).await?;
+        link_auth::authenticate(&mut stream, cluster_key, LinkSide::Client).await?;
         let network = network(stream, Side::Client, metrics);
         let mut system = RpcSystem::new(Box::new(network), None);
         let client: node::Client = system.bootstrap(Side::Server);
--- a/src/links/link_auth.rs
+++ b/src/links/link_auth.rs
@@ -49,16 +49,20 @@
 /// connection or does not answer in time.
 pub async fn authenticate(
     stream: &mut TcpStream,
-    cluster: &ClusterKey,
+    cluster_key: &ClusterKey,
     side: LinkSide,
 ) -> Result<()> {
-    let handshake = exchange(stream, cluster, side);
+    let handshake = exchange_proofs(stream, cluster_key, side);
     let result = compio::time::timeout(HANDSHAKE_TIMEOUT, handshake).await;
     result.unwrap_or_else(|_| Err(Error::new(Code::LinkClosed, "handshake timed out")))
 }
 
-async fn exchange(stream: &mut TcpStream, cluster: &ClusterKey, side: LinkSide) -> Result<()> {
-    let key = hmac::Key::new(hmac::HMAC_SHA256, &cluster.derive("control link", ""));
+async fn exchange_proofs(
+    stream: &mut TcpStream,
+    cluster_key: &ClusterKey,
+    side: LinkSide,
+) -> Result<()> {
+    let key = hmac::Key::new(hmac::HMAC_SHA256, &cluster_key.derive("control link", ""));
     let own_nonce: [u8; NONCE_BYTES] = rand::rng().random();
     send(stream, own_nonce.to_vec()).await?;
     let peer_nonce = receive(stream, NONCE_BYTES).await?;
@@ -76,15 +80,15 @@
 
 async fn send(stream: &mut TcpStream, bytes: Vec<u8>) -> Result<()> {
     let BufResult(result, _) = stream.write_all(bytes).await;
-    result.map_err(closed)
+    result.map_err(link_closed)
 }
 
 async fn receive(stream: &mut TcpStream, count: usize) -> Result<Vec<u8>> {
     let BufResult(result, bytes) = stream.read_exact(Vec::with_capacity(count)).await;
-    result.map_err(closed)?;
+    result.map_err(link_closed)?;
     Ok(bytes)
 }
 
-fn closed(error: std::io::Error) -> Error {
+fn link_closed(error: std::io::Error) -> Error {
     Error::new(Code::LinkClosed, error.to_string())
 }
--- a/src/links/peer_client.rs
+++ b/src/links/peer_client.rs
@@ -40,7 +40,7 @@
 /// fails.
 pub(crate) struct PeerClient {
     own_host: Ipv4Addr,
-    cluster: ClusterKey,
+    cluster_key: ClusterKey,
     control_port: u16,
     metrics: Rc<Metrics>,
     links: RefCell<Vec<(Ipv4Addr, Rc<Link>)>>,
@@ -52,13 +52,13 @@
     /// It connects from `own_host`; the operators' client, which runs on any host, passes 0.0.0.0.
     pub(crate) fn new(
         own_host: Ipv4Addr,
-        cluster: &ClusterKey,
+        cluster_key: &ClusterKey,
         control_port: u16,
         metrics: &Rc<Metrics>,
     ) -> Self {
         Self {
             own_host,
-            cluster: cluster.clone(),
+            cluster_key: cluster_key.clone(),
             control_port,
             metrics: metrics.clone(),
             links: RefCell::default(),
@@ -272,7 +272,7 @@
             return Ok(link);
         }
         let address = link::control_address(host, self.control_port);
-        let link = Link::connect(self.own_host, address, &self.cluster, &self.metrics).await;
+        let link = Link::connect(self.own_host, address, &self.cluster_key, &self.metrics).await;
         let link = Rc::new(link.inspect_err(|error| self.metrics.links_refused.inc(error.code))?);
         // Another call may have opened a link in the meantime.
         if let Some(link) = self.cached(host) {
