--- a/src/opaque/mod.rs
+++ b/src/opaque/mod.rs
@@ -1,11 +1,17 @@
-//! Flows of packets that only their two ends can read; see docs/OPAQUE.md.
+//! Load balancing of opaque flows, whose packets only their two ends can read; see docs/OPAQUE.md.
 //!
-//! A packet's way reads top to bottom in `forwarder`, for a balancer, and in `keeper`, for an agent. The rule
-//! that lives here: nothing is proof of where a flow is but its backend server, and without proof no flow is
-//! reset. Decisions stand in plain structs that are told the time and do no input or output: the balancer's
-//! in `forwarder`, the agent's in `keeper`. What they read stands in `openers` (whom to take and where others go),
-//! `finding` (where a flow is) and `values` (what is published); what they send in `packets`. Around them stand the
-//! processes, in `processes`. `quic` is not used.
+//! Only the backend server of a flow proves that it holds the flow, and no flow is reset without
+//! proof that it is gone.
+//!
+//! - `forwarder` decides about packets in a balancer, `keeper` in an agent. Both are plain structs
+//!   that get the time as an argument and do no input or output.
+//! - `openers` decides which openers are taken and where the others go.
+//! - `finding` finds the backend server that holds a flow.
+//! - `values` holds the published values.
+//! - `packets` defines the messages between processes and the access to packets of flows.
+//! - `processes` runs balancers and agents: sockets and timers.
+//!
+//! `quic` is not used here.
 
 mod finding;
 mod forwarder;
@@ -50,11 +56,11 @@
 
 pub(crate) use crate::opaque::processes::node::Node;
 
-/// What a platform must provide for opaque flows.
+/// The platform-specific parts that opaque flows need.
 pub struct PlatformAdapter {
-    /// How packets look on the wire.
+    /// The wire format of packets.
     pub wire: WireFormat,
-    /// Where published values are read.
+    /// The reads of published values.
     pub source: PlatformSource,
 }
 
--- a/src/opaque/processes/agent.rs
+++ b/src/opaque/processes/agent.rs
@@ -1,4 +1,5 @@
-//! The agent of opaque flows: stands beside one backend server, asks [`Keeper`], sends.
+//! The agent process of opaque flows: runs beside one backend server and sends what [`Keeper`]
+//! decides.
 
 use std::cell::RefCell;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -25,25 +26,25 @@
 use crate::opaque::{Node, PlatformAdapter};
 use crate::process::udp::{self, BUFFER_BYTES};
 
-/// How long an agent that stops still hands packets to its backend server while openers go
-/// elsewhere: their balancers hear of it with the first one.
-const LEAVING: Duration = Duration::from_millis(200);
-/// How often flows are tidied, in milliseconds.
-const TIDY_MS: u64 = 1_000;
-/// How often an agent tells others of a backend server that is not published, in milliseconds: twice in
-/// the time for which processes that start wait for it.
-const ANNOUNCE_MS: u64 = START_SETTLE_MS / 2;
+/// The time for which a stopping agent still delivers packets to its backend server while it hands
+/// openers on; balancers learn that it stops from the first opener that it hands on.
+const STOP_GRACE: Duration = Duration::from_millis(200);
+/// The interval at which expired flows are removed, in milliseconds.
+const EXPIRY_INTERVAL_MS: u64 = 1_000;
+/// The interval at which an agent announces a backend server that is not published, in
+/// milliseconds: twice in the time for which starting processes wait for announcements.
+const ANNOUNCE_INTERVAL_MS: u64 = START_SETTLE_MS / 2;
 
-/// How often an agent greets balancers that have gone quiet, in milliseconds: a balancer that starts without
-/// the platform serves after about this time.
-const GREET_MS: u64 = 100;
+/// The interval at which an agent greets quiet balancers, in milliseconds: a balancer that starts
+/// while the platform is unreachable serves after about this time.
+const GREET_INTERVAL_MS: u64 = 100;
 
 struct AgentProcess {
     node: Rc<Node>,
     keeper: RefCell<Keeper>,
     backend: SocketAddrV4,
     backend_sender: std::net::UdpSocket,
-    doubts: RefCell<mpsc::Sender<()>>,
+    reconnect_requests: RefCell<mpsc::Sender<()>>,
     ticker: Rc<Ticker>,
 }
 
@@ -60,32 +61,32 @@
         outbound.ok_or_else(|| Error::new(Code::SettingsMissing, "[opaque] outbound"))?;
     let (from_backend, backend_sender) = udp::bind_pair(outbound)?;
     let ready = readiness::serve(&control).await?;
-    let fresh = control.settings.opaque.fresh_site;
-    let (doubts, doubted) = mpsc::channel(1);
-    let side = Rc::new(AgentProcess {
+    let is_fresh_site = control.settings.opaque.fresh_site;
+    let (reconnect_sender, reconnect_requests) = mpsc::channel(1);
+    let agent = Rc::new(AgentProcess {
         keeper: RefCell::new(Keeper::new(
             node.wire,
             identity,
-            fresh,
+            is_fresh_site,
             &control.metrics.opaque,
         )),
         node: node.clone(),
         backend: identity.backend,
         backend_sender,
-        doubts: RefCell::new(doubts),
+        reconnect_requests: RefCell::new(reconnect_sender),
         ticker: Rc::default(),
     });
-    side.clone().receive(from_backend);
-    side.clone().watch_backend(doubted);
-    // The greeting lets balancers show it packets of open flows before there is a configuration.
+    agent.clone().receive(from_backend);
+    agent.clone().watch_backend(reconnect_requests);
+    // The greeting lets balancers send it packets of open flows before a configuration is in force.
     node.start(&[MessageKind::Beat, MessageKind::Greeting])
         .await;
-    side.subscribe();
-    readiness::announce(&control, &ready);
+    agent.start_timers();
+    readiness::set_ready(&control, &ready);
     stop.await;
-    side.decide(|keeper, scene| Ok(keeper.leave(scene)));
-    log::info!("event=leaving grace_ms={}", LEAVING.as_millis());
-    compio::time::sleep(LEAVING).await;
+    agent.decide(|keeper, scene| Ok(keeper.leave(scene)));
+    log::info!("event=leaving grace_ms={}", STOP_GRACE.as_millis());
+    compio::time::sleep(STOP_GRACE).await;
     Ok(())
 }
 
@@ -103,38 +104,42 @@
 
 impl AgentProcess {
     fn receive(self: Rc<Self>, from_backend: UdpSocket) {
-        let side = self.clone();
-        compio::runtime::spawn(async move { side.receive_from_backend(&from_backend).await })
+        let agent = self.clone();
+        compio::runtime::spawn(async move { agent.receive_from_backend(&from_backend).await })
             .detach();
         compio::runtime::spawn(async move {
             let node = self.node.clone();
-            node.receive(|from, message, payload| self.peer_says(from, message, payload))
+            node.receive(|from, message, payload| self.handle_message(from, message, payload))
                 .await;
         })
         .detach();
     }
 
-    fn subscribe(self: &Rc<Self>) {
-        self.node.subscribe();
-        let side = self.clone();
-        let look = move || side.decide(|keeper, scene| Ok(keeper.published_changed(scene)));
-        look();
-        self.node.control.on_change(move |_| look());
-        let side = self.clone();
-        let announce = move || side.announce_unlisted();
-        self.node.control.timers.every(ANNOUNCE_MS, announce);
-        let side = self.clone();
+    fn start_timers(self: &Rc<Self>) {
+        self.node.start_sync();
+        let agent = self.clone();
+        let check_published =
+            move || agent.decide(|keeper, scene| Ok(keeper.published_changed(scene)));
+        check_published();
+        self.node.control.on_change(move |_| check_published());
+        let agent = self.clone();
+        let announce = move || agent.announce_unlisted();
+        self.node
+            .control
+            .timers
+            .every(ANNOUNCE_INTERVAL_MS, announce);
+        let agent = self.clone();
         let seeds = self.node.control.settings.seeds.clone();
-        let greet = move || side.decide(|keeper, scene| Ok(keeper.greet(scene, &seeds)));
-        self.node.control.timers.every(GREET_MS, greet);
-        let side = self.clone();
-        let look = move || side.decide(|keeper, scene| Ok(keeper.look_for_stall(scene)));
-        self.node.control.timers.every(LOOK_MS, look);
-        let side = self.clone();
+        let greet = move || agent.decide(|keeper, scene| Ok(keeper.greet(scene, &seeds)));
+        self.node.control.timers.every(GREET_INTERVAL_MS, greet);
+        let agent = self.clone();
+        let check_stall = move || agent.decide(|keeper, scene| Ok(keeper.look_for_stall(scene)));
+        self.node.control.timers.every(LOOK_MS, check_stall);
+        let agent = self.clone();
         let lifetime_ms = self.node.control.settings.opaque.flow_lifetime_ms();
-        self.node.control.timers.every(TIDY_MS, move || {
-            let now_ms = side.node.control.now_ms();
-            let mut keeper = side.keeper.borrow_mut();
+        self.node.control.timers.every(EXPIRY_INTERVAL_MS, move || {
+            let now_ms = agent.node.control.now_ms();
+            let mut keeper = agent.keeper.borrow_mut();
             keeper.expire(now_ms);
             if now_ms > lifetime_ms {
                 keeper.set_knows_all();
@@ -142,34 +147,44 @@
         });
     }
 
-    /// Tells all others of a backend server that is not published.
+    /// Announces the backend server to all agents if it is not published.
     ///
-    /// Without it, processes that start while lapsed entries are not back yet reset flows that it holds.
+    /// Otherwise processes that start before lapsed entries are back would reset flows that it
+    /// holds.
     fn announce_unlisted(&self) {
         let directory = self.node.directory.borrow();
         let hosts = directory.current_hosts();
         if !asks_all(&directory) || !self.keeper.borrow().is_unlisted(&directory) {
             return;
         }
-        let own = self.node.control.settings.host;
-        let others: Vec<Ipv4Addr> = hosts.iter().copied().filter(|host| *host != own).collect();
+        let own_host = self.node.control.settings.host;
+        let other_hosts: Vec<Ipv4Addr> = hosts
+            .iter()
+            .copied()
+            .filter(|host| *host != own_host)
+            .collect();
         drop(directory);
-        for host in others {
+        for host in other_hosts {
             let message = Message::new(MessageKind::Unlisted);
             self.node.send(host, message, Vec::new());
         }
     }
 
-    fn watch_backend(self: Rc<Self>, doubts: mpsc::Receiver<()>) {
+    fn watch_backend(self: Rc<Self>, reconnect_requests: mpsc::Receiver<()>) {
         compio::runtime::spawn(async move {
             let backend = self.backend;
-            backend_watch::run(backend, |sign| self.backend_sign(sign), doubts).await;
+            backend_watch::run(
+                backend,
+                |event| self.handle_connection_event(event),
+                reconnect_requests,
+            )
+            .await;
         })
         .detach();
     }
 
-    fn backend_sign(self: &Rc<Self>, sign: ConnectionEvent) {
-        match sign {
+    fn handle_connection_event(self: &Rc<Self>, event: ConnectionEvent) {
+        match event {
             ConnectionEvent::Accepted => {
                 let now_ms = self.node.control.now_ms();
                 self.keeper.borrow_mut().backend_listens(now_ms);
@@ -199,15 +214,15 @@
         }
     }
 
-    fn peer_says(self: &Rc<Self>, from: Ipv4Addr, message: &Message, payload: &[u8]) {
-        if self.node.take_beat(from, message) || message.kind == MessageKind::Holds {
+    fn handle_message(self: &Rc<Self>, from: Ipv4Addr, message: &Message, payload: &[u8]) {
+        if self.node.handle_common(from, message) || message.kind == MessageKind::Holds {
             return;
         }
         self.node.control.metrics.packets_in.inc();
         self.decide(|keeper, scene| keeper.peer_says(scene, from, message, payload));
     }
 
-    /// Lets the keeper decide and does what it asks.
+    /// Lets the keeper decide and performs the actions that it returns.
     fn decide(
         self: &Rc<Self>,
         decision: impl FnOnce(&mut Keeper, &Scene<'_>) -> Result<Vec<Action>>,
@@ -220,15 +235,15 @@
                 directory: &directory,
                 suspicion: &suspicion,
                 revision: control.store.borrow().digest().highest,
-                settled: self.node.values.is_settled(),
+                settled: self.node.value_sync.is_settled(),
                 now_ms: control.now_ms(),
             };
             let mut keeper = self.keeper.borrow_mut();
             let result = decision(&mut keeper, &scene);
             self.node.load_permille.set(keeper.load_permille(&scene));
             if keeper.take_doubt() {
-                // One that waits already says the same.
-                let _ = self.doubts.borrow_mut().try_send(());
+                // If the channel is full, a request to reconnect is already pending.
+                let _ = self.reconnect_requests.borrow_mut().try_send(());
             }
             result
         };
@@ -243,10 +258,10 @@
     }
 
     fn start_ticking(self: &Rc<Self>) {
-        let (waiting, ticked) = (self.clone(), self.clone());
+        let (waiting, ticking) = (self.clone(), self.clone());
         let is_waiting = move || waiting.keeper.borrow().is_waiting();
         self.ticker.start(is_waiting, move || {
-            ticked.decide(|keeper, scene| Ok(keeper.tick(scene)))
+            ticking.decide(|keeper, scene| Ok(keeper.tick(scene)))
         });
     }
 }
--- a/src/opaque/processes/backend_watch.rs
+++ b/src/opaque/processes/backend_watch.rs
@@ -1,8 +1,7 @@
-//! Notices at once when the process of the backend server ends, without a request to it.
+//! Detects the end of the backend server's process through an idle connection.
 //!
-//! A connection is kept open on which nothing is sent. When it breaks, a refused new one proves that
-//! nothing listens any more, so that every flow of that process is gone. See docs/OPAQUE.md, "When a
-//! flow is reset".
+//! Nothing is sent on the connection. When it breaks and a new one is refused, nothing listens any
+//! more, so all flows of that process are gone. See docs/OPAQUE.md, "When a flow is reset".
 
 use std::net::SocketAddrV4;
 use std::time::Duration;
@@ -14,46 +13,48 @@
 use futures_util::StreamExt;
 use futures_util::future::{Either, select};
 
-/// What a connection to the backend server shows.
+/// An event of the connection to the backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ConnectionEvent {
-    /// It accepted a connection.
+    /// The backend server accepted a connection.
     Accepted,
-    /// The connection broke: its process ended, or closed what was idle.
+    /// The connection broke: the process ended, or closed an idle connection.
     Broken,
-    /// Nothing listens at its address.
+    /// The connection was refused: nothing listens at the address.
     Refused,
 }
 
-/// How long a connection may take; a host that answers does so within a millisecond.
+/// The timeout of a connection attempt; a host that answers does so within a millisecond.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How soon a refused connection is tried again.
-const RETRY: Duration = Duration::from_millis(100);
+/// The pause after a failed connection attempt.
+const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Watches forever and says what it sees; each word in `doubts` makes it connect anew.
+/// Watches the backend server forever and reports events; each item of `reconnect_requests` makes
+/// it reconnect.
 ///
-/// A connection may go silent for good and not show the end of the other side.
+/// A reconnect is needed since a connection may go silent for good without showing that the other
+/// side has ended.
 pub(crate) async fn run(
     backend: SocketAddrV4,
-    see: impl Fn(ConnectionEvent),
-    mut doubts: mpsc::Receiver<()>,
+    report: impl Fn(ConnectionEvent),
+    mut reconnect_requests: mpsc::Receiver<()>,
 ) {
     loop {
         match compio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect(backend)).await {
             Ok(Ok(stream)) => {
-                see(ConnectionEvent::Accepted);
+                report(ConnectionEvent::Accepted);
                 let closed = Box::pin(wait_until_closed(stream));
-                match select(closed, doubts.next()).await {
-                    Either::Left(_) => see(ConnectionEvent::Broken),
+                match select(closed, reconnect_requests.next()).await {
+                    Either::Left(_) => report(ConnectionEvent::Broken),
                     Either::Right(_) => log::debug!("event=backend_doubted backend={backend}"),
                 }
             }
             Ok(Err(error)) if error.kind() == std::io::ErrorKind::ConnectionRefused => {
-                see(ConnectionEvent::Refused);
-                compio::time::sleep(RETRY).await;
+                report(ConnectionEvent::Refused);
+                compio::time::sleep(RETRY_PAUSE).await;
             }
-            // A host that does not answer shows nothing about its process.
-            Ok(Err(_)) | Err(_) => compio::time::sleep(RETRY).await,
+            // A host that does not answer proves nothing about the process.
+            Ok(Err(_)) | Err(_) => compio::time::sleep(RETRY_PAUSE).await,
         }
     }
 }
@@ -63,7 +64,7 @@
         let BufResult(result, _) = stream.read(Vec::with_capacity(64)).await;
         match result {
             Ok(0) | Err(_) => return,
-            // Whatever it says there is no answer to anything.
+            // Data here answers no request, and is ignored.
             Ok(_) => {}
         }
     }
--- a/src/opaque/processes/balancer.rs
+++ b/src/opaque/processes/balancer.rs
@@ -1,4 +1,5 @@
-//! The balancer of opaque flows: reads packets of callers, asks [`Forwarder`], sends.
+//! The balancer process of opaque flows: receives packets of callers and sends what [`Forwarder`]
+//! decides.
 
 use std::cell::RefCell;
 use std::net::Ipv4Addr;
@@ -19,11 +20,11 @@
 use crate::opaque::{Node, PlatformAdapter};
 use crate::process::udp::{self, BUFFER_BYTES};
 
-/// How long a balancer goes on forwarding after it said that it takes no traffic: the platform asks
-/// twice a second and believes the second answer.
-const LEAVING: Duration = Duration::from_millis(1_800);
-/// How often hints are tidied, in milliseconds.
-const TIDY_MS: u64 = 5_000;
+/// The time for which a balancer keeps forwarding after it stops being ready: the platform checks
+/// readiness twice a second and acts on the second negative answer.
+const STOP_GRACE: Duration = Duration::from_millis(1_800);
+/// The interval at which expired hints are removed, in milliseconds.
+const EXPIRY_INTERVAL_MS: u64 = 5_000;
 
 struct BalancerProcess {
     node: Rc<Node>,
@@ -42,7 +43,7 @@
     let listen = listen.ok_or_else(|| Error::new(Code::SettingsMissing, "[opaque] listen"))?;
     let callers = udp::bind(listen)?;
     let ready = readiness::serve(&control).await?;
-    let entry = Rc::new(BalancerProcess {
+    let balancer = Rc::new(BalancerProcess {
         forwarder: RefCell::new(Forwarder::new(
             node.wire,
             control.settings.host,
@@ -53,29 +54,29 @@
         node: node.clone(),
         ticker: Rc::default(),
     });
-    let peers = entry.clone();
+    let receiver = balancer.clone();
     compio::runtime::spawn(async move {
-        let node = peers.node.clone();
-        node.receive(|from, message, payload| peers.peer_says(from, message, payload))
+        let node = receiver.node.clone();
+        node.receive(|from, message, payload| receiver.handle_message(from, message, payload))
             .await;
     })
     .detach();
-    let informed = entry.clone();
-    control.on_change(move |_| informed.offer_early());
-    let receiving = entry.clone();
-    compio::runtime::spawn(async move { receiving.receive(&callers).await }).detach();
+    let observer = balancer.clone();
+    control.on_change(move |_| observer.offer_early());
+    let receiver = balancer.clone();
+    compio::runtime::spawn(async move { receiver.receive(&callers).await }).detach();
     node.start(&[MessageKind::Beat]).await;
-    node.subscribe();
-    let tidied = entry.clone();
-    control.timers.every(TIDY_MS, move || {
-        let now_ms = tidied.node.control.now_ms();
-        tidied.forwarder.borrow_mut().expire(now_ms);
+    node.start_sync();
+    let expiring = balancer.clone();
+    control.timers.every(EXPIRY_INTERVAL_MS, move || {
+        let now_ms = expiring.node.control.now_ms();
+        expiring.forwarder.borrow_mut().expire(now_ms);
     });
-    readiness::announce(&control, &ready);
+    readiness::set_ready(&control, &ready);
     stop.await;
     ready.set(false);
-    log::info!("event=leaving grace_ms={}", LEAVING.as_millis());
-    compio::time::sleep(LEAVING).await;
+    log::info!("event=leaving grace_ms={}", STOP_GRACE.as_millis());
+    compio::time::sleep(STOP_GRACE).await;
     Ok(())
 }
 
@@ -88,15 +89,15 @@
             buffer = received;
             if result.is_ok() {
                 self.node.control.metrics.packets_in.inc();
-                self.take(buffer.clone());
+                self.handle_packet(buffer.clone());
             }
         }
     }
 
-    fn take(self: &Rc<Self>, packet: Vec<u8>) {
+    fn handle_packet(self: &Rc<Self>, packet: Vec<u8>) {
         let now_ms = self.node.control.now_ms();
-        if !self.node.values.has_routes() {
-            self.search(&packet, now_ms);
+        if !self.node.value_sync.has_routes() {
+            self.handle_without_routes(&packet, now_ms);
             return;
         }
         let result = {
@@ -112,8 +113,8 @@
         self.start_ticking();
     }
 
-    /// Forwards a packet while there is no configuration.
-    fn search(&self, packet: &[u8], now_ms: u64) {
+    /// Forwards a packet while no configuration is in force.
+    fn handle_without_routes(&self, packet: &[u8], now_ms: u64) {
         let result = {
             let mut search = self.node.search.borrow_mut();
             let mut forwarder = self.forwarder.borrow_mut();
@@ -125,9 +126,9 @@
         }
     }
 
-    /// Offers what came before the configuration that is in force now.
+    /// Offers the openers that arrived before the configuration was in force.
     fn offer_early(self: &Rc<Self>) {
-        if !self.node.values.has_routes() {
+        if !self.node.value_sync.has_routes() {
             return;
         }
         let now_ms = self.node.control.now_ms();
@@ -141,9 +142,9 @@
         self.start_ticking();
     }
 
-    /// Notes which agents run, for as long as no configuration tells.
-    fn note_agents(&self, from: Ipv4Addr, message: &Message, payload: &[u8]) {
-        if self.node.values.has_routes() {
+    /// Records which agents run, while no configuration is in force.
+    fn record_agents(&self, from: Ipv4Addr, message: &Message, payload: &[u8]) {
+        if self.node.value_sync.has_routes() {
             return;
         }
         let now_ms = self.node.control.now_ms();
@@ -155,15 +156,15 @@
         }
     }
 
-    fn peer_says(self: &Rc<Self>, from: Ipv4Addr, message: &Message, payload: &[u8]) {
+    fn handle_message(self: &Rc<Self>, from: Ipv4Addr, message: &Message, payload: &[u8]) {
         let now_ms = self.node.control.now_ms();
         self.node.control.suspicion.borrow_mut().answered(from);
         let load_permille = message.load_permille;
         self.forwarder
             .borrow_mut()
             .heard(from, load_permille, now_ms);
-        self.note_agents(from, message, payload);
-        if self.node.take_beat(from, message) {
+        self.record_agents(from, message, payload);
+        if self.node.handle_common(from, message) {
             return;
         }
         let Some(flow) = named_flow(payload) else {
@@ -178,7 +179,7 @@
             forwarder.heard_wait(&self.node.directory.borrow(), from, wait_ms, now_ms);
         }
         match message.kind {
-            MessageKind::Declined => self.declined(&flow, from, now_ms),
+            MessageKind::Declined => self.handle_declined(&flow, from, now_ms),
             MessageKind::Holds => {
                 let mut forwarder = self.forwarder.borrow_mut();
                 if message.has_opened {
@@ -200,7 +201,7 @@
         }
     }
 
-    fn declined(&self, flow: &FlowKey, from: Ipv4Addr, now_ms: u64) {
+    fn handle_declined(&self, flow: &FlowKey, from: Ipv4Addr, now_ms: u64) {
         let action = {
             let directory = self.node.directory.borrow();
             let suspicion = self.node.control.suspicion.borrow();
@@ -211,9 +212,9 @@
     }
 
     fn start_ticking(self: &Rc<Self>) {
-        let (waiting, ticked) = (self.clone(), self.clone());
+        let (waiting, ticking) = (self.clone(), self.clone());
         let is_waiting = move || waiting.forwarder.borrow().is_waiting();
-        self.ticker.start(is_waiting, move || ticked.tick());
+        self.ticker.start(is_waiting, move || ticking.tick());
     }
 
     fn tick(&self) {
--- a/src/opaque/processes/mod.rs
+++ b/src/opaque/processes/mod.rs
@@ -1,6 +1,6 @@
-//! The balancer and the agent as processes: sockets, timers, readiness, the state dump.
+//! The balancer and agent processes: sockets, timers, readiness checks and the state dump.
 //!
-//! The rule that lives here: nothing here decides about a packet; `forwarder` and `keeper` are asked. See docs/OPAQUE.md.
+//! No code here decides about a packet; `forwarder` and `keeper` do. See docs/OPAQUE.md.
 
 pub(crate) mod agent;
 pub(crate) mod backend_watch;
--- a/src/opaque/processes/node.rs
+++ b/src/opaque/processes/node.rs
@@ -1,4 +1,4 @@
-//! What balancers and agents of opaque flows share: the directory, messages, beats.
+//! The common parts of balancer and agent processes: the directory, messages and beats.
 
 use std::cell::{Cell, RefCell};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
@@ -20,30 +20,32 @@
 use crate::opaque::values::value_sync::ValueSync;
 use crate::process::udp::{self, BUFFER_BYTES};
 
-/// How often what is remembered is tidied, in milliseconds.
-const TIDY_MS: u64 = 500;
-/// For how long a process that asked is told of changes at once, in milliseconds: some beats.
-const ASKER_MS: u64 = 4 * BEAT_MS;
-/// The most processes that are told of changes at once.
-const MAX_ASKERS: usize = 64;
+/// The interval at which expired state is removed, in milliseconds.
+const EXPIRY_INTERVAL_MS: u64 = 500;
+/// The time after its last beat for which a process is notified of changes at once, in
+/// milliseconds: several beats.
+const SUBSCRIPTION_MS: u64 = 4 * BEAT_MS;
+/// The most processes that are notified of changes at once.
+const MAX_SUBSCRIBERS: usize = 64;
 
-/// The parts of a process on which both roles build.
+/// The parts that balancer and agent processes have in common.
 pub(crate) struct Node {
     pub(crate) control: Rc<Control>,
     pub(crate) wire: WireFormat,
     pub(crate) directory: RefCell<Directory>,
-    pub(crate) values: Rc<ValueSync>,
+    pub(crate) value_sync: Rc<ValueSync>,
     receiver: UdpSocket,
     sender: std::net::UdpSocket,
-    askers: RefCell<Vec<(Ipv4Addr, u64)>>,
-    /// The agents heard of while there is no configuration.
+    /// The processes that send beats here and the time of the last one of each, sorted by host.
+    subscribers: RefCell<Vec<(Ipv4Addr, u64)>>,
+    /// The agents that are known while no configuration is in force.
     pub(crate) search: RefCell<FlowSearch>,
-    /// The load that messages tell of the backend server beside this process.
+    /// The load of the backend server beside this process, which messages report.
     pub(crate) load_permille: Cell<u16>,
 }
 
 impl Node {
-    /// Makes the node and binds the socket between processes.
+    /// Makes the node and binds the socket for messages between processes.
     pub(crate) fn new(control: &Rc<Control>, adapter: PlatformAdapter) -> Result<Rc<Self>> {
         let address = SocketAddr::from((control.settings.host, control.settings.datagram_port));
         let (receiver, sender) = udp::bind_pair(address)?;
@@ -51,85 +53,86 @@
             control: control.clone(),
             wire: adapter.wire,
             directory: RefCell::default(),
-            values: ValueSync::new(control, adapter.source),
+            value_sync: ValueSync::new(control, adapter.source),
             receiver,
             sender,
-            askers: RefCell::default(),
+            subscribers: RefCell::default(),
             search: RefCell::default(),
             load_permille: Cell::new(UNKNOWN_LOAD),
         });
         control.tells_peers.set(false);
-        let changed = node.clone();
-        control.on_change(move |names| changed.values_changed(names));
+        let observer = node.clone();
+        control.on_change(move |names| observer.apply_changed_values(names));
         Ok(node)
     }
 
-    /// Returns once a configuration is in force; meanwhile seeds are asked for one, again and again, by
-    /// messages of these kinds.
+    /// Returns once a configuration is in force; until then, sends messages of these kinds to the
+    /// seeds to ask for one.
     pub(crate) async fn start(self: &Rc<Self>, kinds: &[MessageKind]) {
-        let ask = |host| {
+        let ask_seed = |host| {
             for kind in kinds {
                 self.send(host, Message::new(*kind), Vec::new());
             }
         };
-        self.values.start(ask).await;
+        self.value_sync.start(ask_seed).await;
     }
 
-    /// Starts beats and tidying, once a configuration is in force.
-    pub(crate) fn subscribe(self: &Rc<Self>) {
+    /// Starts beats, reads of the platform and the removal of expired state; call it once a
+    /// configuration is in force.
+    pub(crate) fn start_sync(self: &Rc<Self>) {
         let node = self.clone();
         self.control.timers.every(BEAT_MS, move || {
-            if let Some(parent) = node.values.beat() {
+            if let Some(parent) = node.value_sync.next_beat() {
                 node.send(parent, Message::new(MessageKind::Beat), Vec::new());
             }
         });
         let node = self.clone();
-        self.control.timers.every(TIDY_MS, move || {
+        self.control.timers.every(EXPIRY_INTERVAL_MS, move || {
             let now_ms = node.control.now_ms();
-            let clock_ms = node.values.lapse_clock_ms();
+            let clock_ms = node.value_sync.lapse_clock_ms();
             node.directory.borrow_mut().expire(clock_ms, now_ms);
             node.control.suspicion.borrow_mut().prune(now_ms);
         });
-        let values = self.values.clone();
-        compio::runtime::spawn(async move { values.run().await }).detach();
+        let value_sync = self.value_sync.clone();
+        compio::runtime::spawn(async move { value_sync.run().await }).detach();
     }
 
-    fn values_changed(&self, names: &[&str]) {
+    fn apply_changed_values(&self, names: &[&str]) {
         let now_ms = self.control.now_ms();
         let mut directory = self.directory.borrow_mut();
         let store = self.control.store.borrow();
         let values = names.iter().filter_map(|name| store.get(name));
-        let changes: Vec<ValueChange<'_>> = values.filter_map(ValueChange::of).collect();
+        let changes: Vec<ValueChange<'_>> = values.filter_map(ValueChange::parse).collect();
         let has_backends = changes.iter().any(ValueChange::is_backend);
         directory.apply_changes(changes, now_ms);
         let metrics = &self.control.metrics.opaque;
         metrics
             .entries_unusable
             .set(directory.unusable_count() as i64);
-        let evacuated = directory.evacuated_zones().len();
-        metrics.zones_evacuated.set(evacuated as i64);
+        let evacuated_count = directory.evacuated_zones().len();
+        metrics.zones_evacuated.set(evacuated_count as i64);
         drop(store);
         if has_backends {
             let hosts = directory.host_list();
             self.control.store.borrow_mut().set_hosts(hosts);
         }
         drop(directory);
-        self.push_change();
+        self.notify_subscribers();
     }
 
-    /// Tells those who ask this process that it holds something newer.
-    fn push_change(&self) {
+    /// Notifies the processes that poll this one that its values changed.
+    fn notify_subscribers(&self) {
         let now_ms = self.control.now_ms();
-        let mut askers = self.askers.borrow_mut();
-        askers.retain(|(_, asked_ms)| now_ms < asked_ms + ASKER_MS);
-        let askers = askers.clone();
-        for (host, _) in askers {
+        let mut subscribers = self.subscribers.borrow_mut();
+        subscribers.retain(|(_, last_beat_ms)| now_ms < last_beat_ms + SUBSCRIPTION_MS);
+        let subscribers = subscribers.clone();
+        for (host, _) in subscribers {
             self.send(host, Message::new(MessageKind::BeatReply), Vec::new());
         }
     }
 
-    /// Receives datagrams of other processes forever.
-    pub(crate) async fn receive(&self, mut take: impl FnMut(Ipv4Addr, &Message, &[u8])) {
+    /// Receives messages of other processes forever, and passes them to `handle`.
+    pub(crate) async fn receive(&self, mut handle: impl FnMut(Ipv4Addr, &Message, &[u8])) {
         let mut buffer = Vec::with_capacity(BUFFER_BYTES);
         loop {
             buffer.clear();
@@ -140,25 +143,26 @@
             };
             match Message::split(&buffer) {
                 Ok((payload, message)) => {
-                    self.values.noticed(*from.ip(), &message);
-                    take(*from.ip(), &message, payload);
+                    self.value_sync.handle_peer_state(*from.ip(), &message);
+                    handle(*from.ip(), &message, payload);
                 }
                 Err(error) => self.drop_packet(&error),
             }
         }
     }
 
-    /// Takes what both roles answer alike; says whether it was that.
-    pub(crate) fn take_beat(self: &Rc<Self>, from: Ipv4Addr, message: &Message) -> bool {
+    /// Handles the message kinds that both roles handle alike; returns whether this was one of
+    /// them.
+    pub(crate) fn handle_common(self: &Rc<Self>, from: Ipv4Addr, message: &Message) -> bool {
         match message.kind {
             MessageKind::Beat => {
-                self.note_asker(from);
+                self.add_subscriber(from);
                 let reply = Message::new(MessageKind::BeatReply);
-                self.send(from, reply, self.running_agents());
+                self.send(from, reply, self.agent_list());
                 true
             }
             MessageKind::BeatReply => {
-                self.values.beat_answered(from, message);
+                self.value_sync.handle_beat_reply(from, message);
                 true
             }
             MessageKind::Unlisted => {
@@ -170,30 +174,34 @@
         }
     }
 
-    /// Returns the list of agents for a balancer that asks while neither has a configuration.
-    fn running_agents(&self) -> Vec<u8> {
-        if self.values.has_routes() {
+    /// Returns the payload of a reply to a beat: the known agents, while no configuration is in
+    /// force.
+    fn agent_list(&self) -> Vec<u8> {
+        if self.value_sync.has_routes() {
             return Vec::new();
         }
         let now_ms = self.control.now_ms();
         self.search.borrow().list(now_ms)
     }
 
-    fn note_asker(&self, host: Ipv4Addr) {
+    fn add_subscriber(&self, host: Ipv4Addr) {
         let now_ms = self.control.now_ms();
-        let mut askers = self.askers.borrow_mut();
-        match askers.binary_search_by_key(&host, |(asker, _)| *asker) {
-            Ok(index) => askers[index].1 = now_ms,
-            Err(index) if askers.len() < MAX_ASKERS => askers.insert(index, (host, now_ms)),
+        let mut subscribers = self.subscribers.borrow_mut();
+        match subscribers.binary_search_by_key(&host, |(subscriber, _)| *subscriber) {
+            Ok(index) => subscribers[index].1 = now_ms,
+            Err(index) if subscribers.len() < MAX_SUBSCRIBERS => {
+                subscribers.insert(index, (host, now_ms))
+            }
             Err(_) => {}
         }
     }
 
-    /// Does what a decision asks; `backend` sends to the backend server beside this process.
-    pub(crate) fn perform(&self, actions: Vec<Action>, backend: impl Fn(&[u8])) {
+    /// Performs actions; `send_to_backend` sends a packet to the backend server beside this
+    /// process.
+    pub(crate) fn perform(&self, actions: Vec<Action>, send_to_backend: impl Fn(&[u8])) {
         for action in actions {
             match action {
-                Action::ToBackend(packet) => backend(&packet),
+                Action::ToBackend(packet) => send_to_backend(&packet),
                 Action::ToCaller(caller, packet) => self.send_to_caller(caller, &packet),
                 Action::ToPeer(host, message, payload) => self.send(host, message, payload),
             }
@@ -202,8 +210,9 @@
 
     /// Sends a message to the process on another host.
     pub(crate) fn send(&self, host: Ipv4Addr, mut message: Message, mut payload: Vec<u8>) {
-        self.values.sign(&mut message);
-        // A process that starts now does not know what vanished a moment ago; who saw it tells it.
+        self.value_sync.fill_in_state(&mut message);
+        // A process that starts now does not know which entries lapsed just before; this tells it
+        // how long to wait.
         let lapse_grace_left_ms = self.directory.borrow().lapse_grace_left_ms();
         message.unsettled_ms = message.unsettled_ms.max(lapse_grace_left_ms as u16);
         if message.load_permille == UNKNOWN_LOAD {
@@ -226,7 +235,7 @@
         self.send_datagram(&self.sender, address, packet);
     }
 
-    /// Sends a datagram; where the socket is full it is lost, as on any link, and counted.
+    /// Sends a datagram; counts it as dropped if the socket buffer is full.
     pub(crate) fn send_datagram(
         &self,
         socket: &std::net::UdpSocket,
@@ -241,7 +250,7 @@
         }
     }
 
-    /// Counts a packet that goes no further.
+    /// Counts a dropped packet.
     pub(crate) fn drop_packet(&self, error: &Error) {
         self.control.metrics.packets_dropped.inc(error.code);
         log::debug!("event=packet_dropped error={error}");
--- a/src/opaque/processes/readiness.rs
+++ b/src/opaque/processes/readiness.rs
@@ -1,4 +1,4 @@
-//! Answers the platform's question whether this process takes traffic.
+//! The HTTP endpoint of the platform's readiness checks.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -12,19 +12,20 @@
 use crate::error::Result;
 use crate::process::http_server;
 
-/// Whether a process takes traffic.
-pub(crate) type Ready = Rc<Cell<bool>>;
+/// Whether a process takes traffic, shared with the endpoint.
+pub(crate) type ReadyFlag = Rc<Cell<bool>>;
 
-/// Binds the address of the settings and answers there from now on.
-pub(crate) async fn serve(control: &Control) -> Result<Ready> {
-    let ready = Ready::default();
+/// Starts the endpoint at the configured address, if there is one; it answers 503 until the flag is
+/// set.
+pub(crate) async fn serve(control: &Control) -> Result<ReadyFlag> {
+    let ready = ReadyFlag::default();
     let Some(address) = control.settings.opaque.ready else {
         return Ok(ready);
     };
     let listener = TcpListener::bind(address).await?;
-    let told = ready.clone();
+    let answered = ready.clone();
     let answer = move |_request| {
-        let status = if told.get() {
+        let status = if answered.get() {
             StatusCode::OK
         } else {
             StatusCode::SERVICE_UNAVAILABLE
@@ -37,8 +38,8 @@
     Ok(ready)
 }
 
-/// Says that a process takes traffic from now on.
-pub(crate) fn announce(control: &Control, ready: &Ready) {
+/// Marks the process as ready and logs it.
+pub(crate) fn set_ready(control: &Control, ready: &ReadyFlag) {
     ready.set(true);
     let revision = control.store.borrow().digest().highest;
     log::info!("event=ready revision={revision}");
--- a/src/opaque/processes/state_dump.rs
+++ b/src/opaque/processes/state_dump.rs
@@ -9,13 +9,13 @@
 use crate::controllers::control::Control;
 use crate::controllers::node_server::{self, NodeHooks};
 
-/// Returns what a process in this role answers on control links.
+/// Returns the control link hooks of a process in this role.
 pub(crate) fn hooks(control: &Rc<Control>, role: &'static str) -> NodeHooks {
     let control = control.clone();
     node_server::hooks_without_flows(move || state(&control, role))
 }
 
-/// Returns the published backend servers that are not gone, as the process knows them.
+/// Returns the published backend servers that are not gone.
 fn backends(control: &Control) -> Value {
     let store = control.store.borrow();
     let records = store.values().iter().filter_map(|value| {
@@ -34,7 +34,7 @@
     records.collect()
 }
 
-/// Returns the availability zones that are evacuated as far as the process knows.
+/// Returns the evacuated availability zones.
 fn evacuated_zones(control: &Control) -> Value {
     let store = control.store.borrow();
     let evacuations = store
--- a/src/opaque/values/backend_change.rs
+++ b/src/opaque/values/backend_change.rs
@@ -1,14 +1,14 @@
-//! A change of what is published of one backend server.
+//! A change to the published entry of one backend server.
 
 use crate::config::backend_entry::BackendValue;
 use crate::config::revision::Revision;
 
-/// What is published anew of a backend server.
+/// A new value of one backend server's published entry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackendChange<'a> {
-    /// Its id.
+    /// The id of the backend server.
     pub id: &'a str,
-    /// What its value says.
+    /// The parsed value.
     pub value: BackendValue,
     /// The revision of the change.
     pub revision: Revision,
--- a/src/opaque/values/backend_tables.rs
+++ b/src/opaque/values/backend_tables.rs
@@ -1,4 +1,4 @@
-//! What is looked up of current backend servers, by service and by host.
+//! Lookup tables over the backend servers that may hold flows, by service and by host.
 
 use std::net::Ipv4Addr;
 
@@ -7,27 +7,28 @@
 use crate::config::table::{Row, Table};
 use crate::opaque::values::published_entry::PublishedEntry;
 
-/// A table for each service, and the availability zone and cold start of each host.
+/// The table of each service, and the availability zone and cold start of each host.
 #[derive(Debug, Default)]
 pub(crate) struct BackendTables {
-    /// The tables, sorted by service.
+    /// Sorted by service.
     tables: Vec<(ServiceId, Table)>,
-    /// The availability zone of each host, sorted by host.
+    /// The availability zone of each host; sorted by host.
     zones: Vec<(Ipv4Addr, String)>,
-    /// Until when the backend server on a host is cold, for those that were published as cold, sorted by host.
+    /// The end of the cold start of each host whose backend server was published as cold, in
+    /// milliseconds; sorted by host.
     cold_hosts: Vec<(Ipv4Addr, u64)>,
 }
 
 impl BackendTables {
-    /// Builds the tables of current entries, which are sorted by address and of which each address has one.
-    pub(crate) fn of(
+    /// Builds the tables from entries that are sorted by address, one for each address.
+    pub(crate) fn build(
         current: &[&PublishedEntry],
         takes_flows: impl Fn(&PublishedEntry) -> bool,
     ) -> Self {
         let zone =
             |entry: &&PublishedEntry| (*entry.backend.address.ip(), entry.backend.zone.clone());
         let mut zones: Vec<(Ipv4Addr, String)> = current.iter().map(zone).collect();
-        // One host may have two entries for a moment, of two ports; both stand in its zone.
+        // A host may briefly have two entries with different ports; both have the host's zone.
         zones.dedup_by_key(|(host, _)| *host);
         let cold = current.iter().filter(|entry| entry.cold_until_ms > 0);
         let mut cold_hosts: Vec<(Ipv4Addr, u64)> = cold
@@ -47,13 +48,13 @@
         index.ok().map(|index| &self.tables[index].1)
     }
 
-    /// Tells whether a host stands in an availability zone.
+    /// Returns whether a host is in an availability zone.
     pub(crate) fn is_in_zone(&self, host: Ipv4Addr, zone: &str) -> bool {
         let found = self.zones.binary_search_by_key(&host, |(host, _)| *host);
         found.is_ok_and(|index| self.zones[index].1 == zone)
     }
 
-    /// Tells whether the backend server on a host is published as cold.
+    /// Returns whether the backend server on a host is published as cold.
     pub(crate) fn is_cold(&self, host: Ipv4Addr, now_ms: u64) -> bool {
         let found = self
             .cold_hosts
@@ -87,7 +88,7 @@
     let weight = if takes_flows { entry.backend.slots } else { 0 };
     let host = *entry.backend.address.ip();
     Row {
-        // By the host and not by the id, which a process without a configuration does not know.
+        // Hash the host instead of the id: a process without a configuration does not know the id.
         target_hash: hash::host_hash(host),
         target: entry.id.clone(),
         host,
--- a/src/opaque/values/batch_diff.rs
+++ b/src/opaque/values/batch_diff.rs
@@ -1,4 +1,5 @@
-//! What a read of the platform tells that is new here, what is older, and what it no longer names.
+//! Compares what a read of the platform returned with the values in force: which are new, which are
+//! older, and which names are no longer published.
 
 use std::collections::BTreeMap;
 
@@ -9,18 +10,21 @@
 use crate::opaque::values::source::Batch;
 use crate::opaque::{BACKEND_PREFIX, GONE_TEXT};
 
-/// Returns the values of a batch that are news, in the order of their revisions.
+/// Returns the new values of a batch, in the order of their revisions.
 ///
-/// A change to the text that a value has already, by its own batch or else by the store, is none: entries
-/// are written anew for signs of life in fields that the product does not use. Three cases are news though
-/// the text is known, since an older end of the entry would be believed without them, here or from a peer
-/// that lags, and flows of a backend server that serves be reset: the return of an entry that vanished within
-/// the batch, every newer revision of a whole read, which follows lost history, and the first state in an era of the
-/// platform, at whose revision processes that start then hold the value.
+/// A write of the text that a value already has, earlier in the batch or else in the store, is not
+/// new: heartbeats rewrite entries in fields that the product does not use. Three cases are new
+/// even though the text is known. Without them, an older removal of the entry would be accepted,
+/// here or from a peer that lags, and flows of a backend server that serves would be reset:
+///
+/// - the return of an entry that was removed earlier in the batch,
+/// - every newer revision of a whole read, which follows lost history,
+/// - the first state in an era of the platform, since processes that start later hold the value at
+///   this revision.
 pub fn new_values<'a>(store: &ConfigStore, batch: &'a Batch) -> Vec<ValueState<'a>> {
-    let mut news: Vec<ValueState<'_>> = Vec::new();
-    // What each value holds once the batch was taken up to here, where that changed.
-    let mut taken: BTreeMap<&str, &str> = BTreeMap::new();
+    let mut new: Vec<ValueState<'_>> = Vec::new();
+    // The texts of the values that the batch changed so far.
+    let mut changed: BTreeMap<&str, &str> = BTreeMap::new();
     for value in &batch.values {
         let name = value.name.as_str();
         let text = value.text.as_deref().unwrap_or(GONE_TEXT);
@@ -28,31 +32,31 @@
         let held = store.get(name);
         let held = held.filter(|held| held.revision.era() == stamp.revision.era());
         let held_text = || held.map(|held| held.text.as_str());
-        let known = taken.get(name).copied().or_else(held_text);
+        let known = changed.get(name).copied().or_else(held_text);
         let is_new = batch.is_whole || known != Some(text);
         if is_new && store.wants(name, stamp) {
-            news.push(ValueState { name, stamp, text });
-            taken.insert(name, text);
+            new.push(ValueState { name, stamp, text });
+            changed.insert(name, text);
         }
     }
-    news
+    new
 }
 
-/// A value that a read told and that does not come into force, since a newer one is.
+/// A value that a read returned and that was dropped, since a newer one is in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DroppedValue<'a> {
-    /// Its name.
+    /// The name of the value.
     pub name: &'a str,
-    /// The revision that the read told.
+    /// The revision that was read.
     pub revision: Revision,
     /// The revision in force.
     pub held_revision: Revision,
 }
 
-/// Returns the values of a batch that say something else than what is in force, and are older.
+/// Returns the values of a batch that differ from those in force and are older.
 ///
-/// A read that may be old tells some after a change; where the platform's newest read does, the two differ in what
-/// they take for the order of changes.
+/// A read that may be stale returns some after a change. In a read of the newest state they show
+/// that the platform and this process order changes differently.
 pub fn dropped_values<'a>(store: &ConfigStore, batch: &'a Batch) -> Vec<DroppedValue<'a>> {
     let older = batch.values.iter().filter_map(|value| {
         let held = store.get(&value.name)?;
@@ -67,33 +71,36 @@
     older.collect()
 }
 
-/// Returns the backend servers and evacuations that a whole read no longer names, which are gone.
+/// Returns the names of the backend servers and evacuations in force that a whole read no longer
+/// contains.
 ///
-/// A read of changes names what is gone.
+/// Returns none for a read of changes, which contains removals.
 pub(crate) fn removed_names(store: &ConfigStore, batch: &Batch) -> Vec<String> {
     if !batch.is_whole {
         return Vec::new();
     }
-    let mut named: Vec<&str> = batch
+    let mut batch_names: Vec<&str> = batch
         .values
         .iter()
         .map(|value| value.name.as_str())
         .collect();
-    named.sort_unstable();
+    batch_names.sort_unstable();
     let values = store.values().iter();
     let is_settled = store.is_settled(batch.revision.era());
     values
-        .filter(|value| may_vanish(&value.name, is_settled))
+        .filter(|value| is_removable(&value.name, is_settled))
         .filter(|value| value.text != GONE_TEXT && value.revision <= batch.revision)
-        .filter(|value| named.binary_search(&value.name.as_str()).is_err())
+        .filter(|value| batch_names.binary_search(&value.name.as_str()).is_err())
         .map(|value| value.name.clone())
         .collect()
 }
 
-/// Tells whether a value is withdrawn by no longer being published; the others are only replaced.
+/// Returns whether a value ends when it is no longer published; other values are only ever
+/// replaced.
 ///
-/// An older copy of the platform may lack an evacuation until operators have asked for it again, and flows must not go back
-/// into the zone meanwhile. A backend server that the copy lacks takes flows for as long as one whose entry lapsed.
-fn may_vanish(name: &str, is_settled: bool) -> bool {
+/// A platform restored from an older copy may lack an evacuation until operators have requested it
+/// again, and no flow may go to the zone until then. A backend server that the copy lacks takes
+/// flows for the same grace period as one whose entry lapsed.
+fn is_removable(name: &str, is_settled: bool) -> bool {
     name.starts_with(BACKEND_PREFIX) || (name.starts_with(EVACUATED_PREFIX) && is_settled)
 }
--- a/src/opaque/values/directory.rs
+++ b/src/opaque/values/directory.rs
@@ -1,4 +1,4 @@
-//! The published backend servers as a process that routes flows sees them.
+//! The in-memory view of the published values, by which a process routes flows.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -20,23 +20,26 @@
 use crate::opaque::values::published_entry::{LAPSE_GRACE_MS, PublishedEntry};
 use crate::opaque::values::value_change::ValueChange;
 
-/// What is published of backend servers, what operators told, and the tables that follow from both.
+/// The published backend servers, the values published by operators, and the lookup tables built
+/// from both.
 #[derive(Debug, Default)]
 pub struct Directory {
     entries: PublishedEntries,
-    told: OperatorValues,
+    operator_values: OperatorValues,
     tables: BackendTables,
     current_hosts: Vec<Ipv4Addr>,
-    /// Hosts whose agents said that a backend server runs there which is not published, and when.
+    /// Hosts whose agents reported a running backend server that is not published, and the time of
+    /// the last report; sorted by host.
     unlisted: Vec<(Ipv4Addr, u64)>,
-    /// The time up to which lapses have run; it stands still while values are old.
-    clock_ms: u64,
-    /// When the last of those that vanished without draining no longer comes back, by that clock.
-    lapse_end_ms: u64,
+    /// The clock that lapse grace periods are measured by; it stands still while values are stale.
+    lapse_clock_ms: u64,
+    /// The end of the last grace period of an entry that lapsed without draining, by the lapse
+    /// clock.
+    lapse_grace_end_ms: u64,
 }
 
 impl Directory {
-    /// Takes what is published of one backend server.
+    /// Applies the published state of one backend server.
     pub fn apply_backend(
         &mut self,
         id: &str,
@@ -52,26 +55,26 @@
         self.apply_backends(vec![change], now_ms);
     }
 
-    /// Takes what is published of backend servers.
+    /// Applies changes of backend servers and rebuilds the tables once.
     pub fn apply_backends(&mut self, changes: Vec<BackendChange<'_>>, now_ms: u64) {
         if changes.is_empty() {
             return;
         }
         for change in changes {
-            self.entries.put(change, now_ms);
+            self.entries.apply(change, now_ms);
         }
         self.rebuild();
     }
 
-    /// Takes changes of values in force, and builds the tables once for all of them.
+    /// Applies changes of values in force and rebuilds the tables at most once.
     ///
-    /// Those of backend servers come first: the others say something of them, which a process that starts learns
-    /// with them.
+    /// Changes of backend servers are applied first, since the others refer to them: a process that
+    /// starts gets both in the same batch.
     pub(crate) fn apply_changes(&mut self, changes: Vec<ValueChange<'_>>, now_ms: u64) {
-        let (of_backends, others): (Vec<_>, Vec<_>) =
+        let (backends, others): (Vec<_>, Vec<_>) =
             changes.into_iter().partition(ValueChange::is_backend);
         let mut is_outdated = false;
-        for change in of_backends.into_iter().chain(others) {
+        for change in backends.into_iter().chain(others) {
             is_outdated |= self.apply_change(change, now_ms);
         }
         if is_outdated {
@@ -79,19 +82,19 @@
         }
     }
 
-    /// Takes a change; says whether the tables must be built anew for it.
+    /// Applies a change; returns whether the tables must be rebuilt.
     fn apply_change(&mut self, change: ValueChange<'_>, now_ms: u64) -> bool {
         match change {
             ValueChange::Backend(change) => {
-                self.entries.put(change, now_ms);
+                self.entries.apply(change, now_ms);
                 true
             }
             ValueChange::Services(services) => {
-                self.told.set_services(services);
+                self.operator_values.set_services(services);
                 true
             }
             ValueChange::Evacuation(evacuation, revision) => {
-                self.note_evacuated(evacuation, revision)
+                self.apply_evacuation(evacuation, revision)
             }
             ValueChange::Routes(routes) => {
                 self.set_routes(routes);
@@ -108,26 +111,26 @@
         }
     }
 
-    /// Returns how many values name no backend server to use.
+    /// Returns the number of entries whose value can't be used.
     pub fn unusable_count(&self) -> usize {
         self.entries.unusable_count()
     }
 
-    /// Takes the published routes.
+    /// Sets the published routes.
     pub fn set_routes(&mut self, routes: RouteTable) {
-        self.told.routes = routes;
+        self.operator_values.routes = routes;
     }
 
-    /// Takes the services that operators named; a backend server of another one is not used.
+    /// Sets the services that operators configured; backend servers of other services are ignored.
     pub fn set_services(&mut self, services: Vec<ServiceId>) {
-        self.told.set_services(services);
+        self.operator_values.set_services(services);
         self.rebuild();
     }
 
-    /// Takes whether an availability zone is evacuated: its backend servers get no new flow, and keep those
-    /// that they hold.
+    /// Sets whether an availability zone is evacuated: its backend servers get no new flows and
+    /// keep the flows that they hold.
     ///
-    /// Says so in the log where that changed. See docs/OPERATORS.md, "Empty a zone".
+    /// Logs each change. See docs/OPERATORS.md, "Empty a zone".
     pub fn set_zone_evacuated(
         &mut self,
         zone: &str,
@@ -138,15 +141,15 @@
             zone,
             is_in_force: is_evacuated,
         };
-        if self.note_evacuated(evacuation, revision.into()) {
+        if self.apply_evacuation(evacuation, revision.into()) {
             self.rebuild();
         }
     }
 
-    /// Notes an evacuation or its end; says whether that is a change.
-    fn note_evacuated(&mut self, evacuation: Evacuation<'_>, revision: Revision) -> bool {
+    /// Applies the start or end of an evacuation; returns whether it changed anything.
+    fn apply_evacuation(&mut self, evacuation: Evacuation<'_>, revision: Revision) -> bool {
         let Evacuation { zone, is_in_force } = evacuation;
-        if !self.told.set_zone_evacuated(zone, is_in_force) {
+        if !self.operator_values.set_zone_evacuated(zone, is_in_force) {
             return false;
         }
         let event = if is_in_force {
@@ -160,58 +163,61 @@
         true
     }
 
-    /// Returns the availability zones that operators evacuated, in order of their names.
+    /// Returns the evacuated availability zones, sorted by name.
     pub fn evacuated_zones(&self) -> &[String] {
-        self.told.evacuated_zones()
+        self.operator_values.evacuated_zones()
     }
 
-    /// Takes what operators told of cold starts.
+    /// Sets the cold start settings of services.
     pub fn set_cold_starts(&mut self, starts: Vec<ColdStart>) {
-        self.told.cold_starts = starts;
+        self.operator_values.cold_starts = starts;
     }
 
-    /// Returns what operators told of the cold starts of a service's backend servers.
+    /// Returns the cold start settings of a service.
     pub fn cold_start(&self, service: ServiceId) -> Option<ColdStart> {
-        self.told.cold_start(service)
+        self.operator_values.cold_start(service)
     }
 
-    /// Takes how long callers wait.
+    /// Sets the deadlines of callers that have time for one attempt only.
     pub fn set_deadlines(&mut self, deadlines: Vec<Deadline>) {
-        self.told.deadlines = deadlines;
+        self.operator_values.deadlines = deadlines;
     }
 
-    /// Returns how long the callers of an address wait, if they have time for one attempt only.
+    /// Returns the deadline of the callers of an address, if they have time for one attempt only.
     pub fn deadline(&self, called: SocketAddrV4) -> Option<Deadline> {
-        self.told.deadline(called)
+        self.operator_values.deadline(called)
     }
 
-    /// Tells whether the callers of an address have time for one attempt only.
+    /// Returns whether the callers of an address have time for one attempt only.
     pub(crate) fn has_deadline(&self, called: SocketAddrV4) -> bool {
         self.deadline(called).is_some()
     }
 
-    /// Tells whether the backend server on a host is published as cold.
+    /// Returns whether the backend server on a host is published as cold.
     pub(crate) fn is_cold(&self, host: Ipv4Addr, now_ms: u64) -> bool {
         self.tables.is_cold(host, now_ms)
     }
 
-    /// Tells whether a service has no backend server for new flows because of evacuations: those that would take
-    /// some are all in evacuated zones.
+    /// Returns whether all backend servers of a service that would take new flows are in evacuated
+    /// zones, and there is at least one.
     ///
-    /// That lasts for minutes, and no copy of an opener finds room meanwhile.
+    /// This state lasts for minutes, so retransmitted openers would not find a backend server
+    /// either.
     pub fn is_service_evacuated(&self, service: ServiceId) -> bool {
-        let of_service =
-            |entry: &&PublishedEntry| entry.backend.service == service && self.told.is_named(entry);
-        let entries = self.entries.iter().filter(of_service);
+        let is_of_service = |entry: &&PublishedEntry| {
+            entry.backend.service == service && self.operator_values.has_service_of(entry)
+        };
+        let entries = self.entries.iter().filter(is_of_service);
         let mut would_take = entries
-            .filter(|entry| entry.takes_flows(self.clock_ms))
+            .filter(|entry| entry.takes_flows(self.lapse_clock_ms))
             .peekable();
-        would_take.peek().is_some() && would_take.all(|entry| self.told.is_evacuated(entry))
+        would_take.peek().is_some()
+            && would_take.all(|entry| self.operator_values.is_evacuated(entry))
     }
 
-    /// Notes that a backend server runs on a host which is not published.
+    /// Records that a backend server runs on a host and is not published.
     ///
-    /// Its entry may have lapsed before this process started, which then can't remember it.
+    /// Its entry may have lapsed before this process started, which then does not remember it.
     pub fn record_unlisted(&mut self, host: Ipv4Addr, now_ms: u64) {
         match self.unlisted.binary_search_by_key(&host, |(host, _)| *host) {
             Ok(index) => self.unlisted[index].1 = now_ms,
@@ -223,55 +229,58 @@
         }
     }
 
-    /// Returns the routes.
+    /// Returns the published routes.
     pub fn routes(&self) -> &RouteTable {
-        &self.told.routes
+        &self.operator_values.routes
     }
 
-    /// Returns the service that a flow goes to when it opens.
+    /// Returns the service that a new flow is routed to.
     pub(crate) fn service_for_flow(&self, flow: &FlowKey) -> Option<ServiceId> {
-        self.told.routes.get(flow.called)?.service(flow.hash())
+        self.operator_values
+            .routes
+            .get(flow.called)?
+            .service(flow.hash())
     }
 
-    /// Returns the table of the service that a flow goes to when it opens.
+    /// Returns the table of the service that a new flow is routed to.
     pub(crate) fn table_for_flow(&self, flow: &FlowKey) -> Option<&Table> {
         self.table(self.service_for_flow(flow)?)
     }
 
-    /// Lets what has vanished lapse, and forgets what vanished long ago.
+    /// Ends the grace periods of lapsed entries, and removes entries that have been gone for long.
     ///
-    /// `clock_ms` is the time while values are new, and stands still while they are old: an entry that
-    /// vanished can't be seen to come back then.
-    pub fn expire(&mut self, clock_ms: u64, now_ms: u64) {
-        self.clock_ms = self.clock_ms.max(clock_ms);
-        if !self.entries.has_lapses() && self.unlisted.is_empty() {
+    /// `lapse_clock_ms` is the current time while values are fresh and stands still while they are
+    /// stale, since the return of a lapsed entry would go unnoticed then.
+    pub fn expire(&mut self, lapse_clock_ms: u64, now_ms: u64) {
+        self.lapse_clock_ms = self.lapse_clock_ms.max(lapse_clock_ms);
+        if !self.entries.has_expiring() && self.unlisted.is_empty() {
             return;
         }
         self.unlisted
-            .retain(|(_, heard_ms)| now_ms < heard_ms + LAPSE_GRACE_MS);
-        self.entries.forget(now_ms);
+            .retain(|(_, reported_ms)| now_ms < reported_ms + LAPSE_GRACE_MS);
+        self.entries.remove_expired(now_ms);
         self.rebuild();
     }
 
-    /// Returns the table of a service; its rows weigh by slots, and by 0 where they take no flow.
+    /// Returns the table of a service; the weight of a row is its slots, or 0 if it takes no new
+    /// flows.
     pub fn table(&self, service: ServiceId) -> Option<&Table> {
         self.tables.table(service)
     }
 
-    /// Returns the newest backend server published at an agent's own address.
+    /// Returns the newest backend server published at an address: for an agent, the one beside it.
     pub fn local_backend(&self, address: SocketAddrV4) -> Option<LocalBackend> {
-        let here = self
-            .entries
-            .iter()
-            .filter(|entry| entry.backend.address == address && self.told.is_named(entry));
-        let newest = here.reduce(|newest, entry| match entry.replaces(newest) {
+        let at_address = self.entries.iter().filter(|entry| {
+            entry.backend.address == address && self.operator_values.has_service_of(entry)
+        });
+        let newest = at_address.reduce(|newest, entry| match entry.replaces(newest) {
             true => entry,
             false => newest,
         })?;
         Some(LocalBackend {
             service: newest.backend.service,
-            takes_flows: newest.takes_flows(self.clock_ms),
-            is_evacuated: self.told.is_evacuated(newest),
+            takes_flows: newest.takes_flows(self.lapse_clock_ms),
+            is_evacuated: self.operator_values.is_evacuated(newest),
             is_gone: newest.gone.is_some(),
             is_usable: newest.unusable_since_ms.is_none(),
             first_revision: newest.first_revision,
@@ -280,20 +289,21 @@
         })
     }
 
-    /// Returns for how long one that vanished without draining may still come back, in milliseconds.
+    /// Returns the remaining time in which an entry that lapsed without draining may come back, in
+    /// milliseconds.
     ///
-    /// One whose address a newer one has taken does not come back. After a loss of power of all hosts
-    /// these are the old entries of all backend servers, and a wait for them would keep all callers from
-    /// being told that their flows have ended.
+    /// Entries whose address a newer backend server uses are not counted, since they do not come
+    /// back. After a power loss of all hosts these are the old entries of all backend servers, and
+    /// waiting for them would delay the resets of all their flows.
     pub fn lapse_grace_left_ms(&self) -> u64 {
-        self.lapse_end_ms.saturating_sub(self.clock_ms)
+        self.lapse_grace_end_ms.saturating_sub(self.lapse_clock_ms)
     }
 
-    fn lapse_end_ms(&self) -> u64 {
+    fn find_lapse_grace_end_ms(&self) -> u64 {
         let lapsed = self
             .entries
             .iter()
-            .filter(|entry| self.told.is_named(entry) && !self.is_replaced(entry));
+            .filter(|entry| self.operator_values.has_service_of(entry) && !self.is_replaced(entry));
         let gone = lapsed.filter_map(|entry| entry.gone);
         let ends = gone.filter(|gone| gone.was_ready);
         ends.map(|gone| gone.since_ms + LAPSE_GRACE_MS)
@@ -301,39 +311,39 @@
             .unwrap_or(0)
     }
 
-    /// Tells whether a newer backend server is published at the address of this one.
+    /// Returns whether an entry is gone and a newer backend server is published at its address.
     fn is_replaced(&self, entry: &PublishedEntry) -> bool {
-        let newer = |other: &PublishedEntry| {
+        let is_newer = |other: &PublishedEntry| {
             other.gone.is_none()
-                && self.told.is_named(other)
+                && self.operator_values.has_service_of(other)
                 && other.backend.address == entry.backend.address
                 && other.replaces(entry)
         };
-        entry.gone.is_some() && self.entries.iter().any(newer)
+        entry.gone.is_some() && self.entries.iter().any(is_newer)
     }
 
-    /// Returns the hosts on which a backend server may hold flows now, sorted.
+    /// Returns the hosts on which a backend server may hold flows, sorted.
     pub fn current_hosts(&self) -> &[Ipv4Addr] {
         &self.current_hosts
     }
 
-    /// Tells whether a host stands in an availability zone.
+    /// Returns whether a host is in an availability zone.
     pub(crate) fn is_in_zone(&self, host: Ipv4Addr, zone: &str) -> bool {
         self.tables.is_in_zone(host, zone)
     }
 
-    /// Tells whether a backend server may still hold flows on a host.
+    /// Returns whether a backend server on a host may hold flows.
     pub fn may_hold_flows(&self, host: Ipv4Addr) -> bool {
         self.current_hosts.binary_search(&host).is_ok()
     }
 
-    /// Returns the hosts of agents, which relay published values to each other.
+    /// Returns the hosts of all agents, which relay published values to each other.
     pub fn host_list(&self) -> HostList {
         let is_listed =
             |entry: &&PublishedEntry| entry.gone.is_none() && entry.unusable_since_ms.is_none();
-        let current = self.entries.iter().filter(is_listed);
-        let current = current.filter(|entry| self.told.is_named(entry));
-        let hosts = current.map(|entry| Host {
+        let listed = self.entries.iter().filter(is_listed);
+        let listed = listed.filter(|entry| self.operator_values.has_service_of(entry));
+        let hosts = listed.map(|entry| Host {
             address: *entry.backend.address.ip(),
             zone: entry.backend.zone.clone(),
             role: HostRole::Backend,
@@ -348,9 +358,9 @@
     fn rebuild(&mut self) {
         let current = self.current_entries();
         let takes_flows = |entry: &PublishedEntry| {
-            entry.takes_flows(self.clock_ms) && !self.told.is_evacuated(entry)
+            entry.takes_flows(self.lapse_clock_ms) && !self.operator_values.is_evacuated(entry)
         };
-        let tables = BackendTables::of(&current, takes_flows);
+        let tables = BackendTables::build(&current, takes_flows);
         let published = current.iter().map(|entry| *entry.backend.address.ip());
         let unlisted = self.unlisted.iter().map(|(host, _)| *host);
         let mut hosts: Vec<Ipv4Addr> = published.chain(unlisted).collect();
@@ -358,13 +368,14 @@
         hosts.dedup();
         self.current_hosts = hosts;
         self.tables = tables;
-        self.lapse_end_ms = self.lapse_end_ms();
+        self.lapse_grace_end_ms = self.find_lapse_grace_end_ms();
     }
 
-    /// Returns the newest entry of each address where a backend server may hold flows, sorted by address.
+    /// Returns the newest entry of each address at which a backend server may hold flows, sorted by
+    /// address.
     fn current_entries(&self) -> Vec<&PublishedEntry> {
         let may_hold_flows = |entry: &&PublishedEntry| {
-            entry.may_hold_flows(self.clock_ms) && self.told.is_named(entry)
+            entry.may_hold_flows(self.lapse_clock_ms) && self.operator_values.has_service_of(entry)
         };
         let mut newest: Vec<&PublishedEntry> = Vec::new();
         for entry in self.entries.iter().filter(may_hold_flows) {
--- a/src/opaque/values/local_backend.rs
+++ b/src/opaque/values/local_backend.rs
@@ -1,41 +1,42 @@
-//! What an agent finds published of its own backend server.
+//! The published state of the backend server beside an agent.
 
 use crate::config::revision::Revision;
 use crate::config::service_id::ServiceId;
 
-/// The backend server that an agent finds published at its own address.
+/// The newest backend server that is published at an agent's address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LocalBackend {
     /// The service under which it is published.
     pub service: ServiceId,
-    /// Whether it takes new flows, as far as it is for itself to say.
+    /// Whether its own entry lets it take new flows; an evacuation is not considered.
     pub takes_flows: bool,
-    /// Whether operators evacuated its availability zone, so that it is to get no new flow.
+    /// Whether its availability zone is evacuated, so that it must not get new flows.
     ///
-    /// It goes on and holds its flows, so that this says nothing about its process.
+    /// An evacuated backend server keeps running and keeps its flows.
     pub is_evacuated: bool,
     /// Whether it is no longer published.
     pub is_gone: bool,
-    /// Whether its entry can be used, so that other processes know of it.
+    /// Whether its entry can be used, so that other processes know it.
     pub is_usable: bool,
-    /// The revision at which it was published first, which tells its lifetime from those before.
+    /// The first revision of this lifetime, which distinguishes it from earlier ones.
     pub first_revision: Revision,
-    /// When its process started, where it tells that.
+    /// The start time of its process, if published.
     pub started_unix_ms: Option<u64>,
-    /// Until when it is slow after its start, in milliseconds of this process.
+    /// The end of its cold start, in milliseconds of this process's clock.
     pub cold_until_ms: u64,
 }
 
 impl LocalBackend {
-    /// Tells whether this lifetime began after another one, so that the other one has ended.
+    /// Returns whether this lifetime began after another one, so that the other one has ended.
     ///
-    /// Where the platform came back from an older copy between the two, only their starts tell: this one may be of the
-    /// copy, and flows would be reset that the server holds.
+    /// Across a restore of the platform from an older copy, only the start times decide: this
+    /// lifetime may be one from the copy, and treating it as the newer one would reset flows that
+    /// the backend server holds.
     pub(crate) fn has_replaced(&self, before: &Self) -> bool {
         if self.first_revision.era() == before.first_revision.era() {
             return self.first_revision > before.first_revision;
         }
         let starts = self.started_unix_ms.zip(before.started_unix_ms);
-        starts.is_some_and(|(own, others)| own > others)
+        starts.is_some_and(|(own_start, other_start)| own_start > other_start)
     }
 }
--- a/src/opaque/values/mod.rs
+++ b/src/opaque/values/mod.rs
@@ -1,6 +1,8 @@
-//! What is published, who reads it, and how it travels to those that do not.
+//! The published values: how a process reads them from the platform, relays them to its peers and
+//! keeps them in memory.
 //!
-//! The rule that lives here: a value is never replaced by an older one, and what is old is not taken for what is so now. See docs/OPAQUE.md.
+//! A value is never replaced by an older one, and stale values are never treated as the current
+//! state. See docs/OPAQUE.md.
 
 pub(crate) mod backend_change;
 pub(crate) mod backend_tables;
--- a/src/opaque/values/operator_values.rs
+++ b/src/opaque/values/operator_values.rs
@@ -1,4 +1,5 @@
-//! What operators told: routes, services, evacuated availability zones, cold starts and deadlines.
+//! The values published by operators: routes, services, evacuated availability zones, cold starts
+//! and deadlines.
 
 use std::net::SocketAddrV4;
 
@@ -8,28 +9,29 @@
 use crate::config::service_id::ServiceId;
 use crate::opaque::values::published_entry::PublishedEntry;
 
-/// The values that operators publish, as they are in force.
+/// The values published by operators that are in force.
 #[derive(Debug, Default)]
 pub(crate) struct OperatorValues {
     pub(crate) routes: RouteTable,
-    /// The services that operators named, sorted; none where that is not known.
+    /// The configured services, sorted; `None` while they are unknown.
     services: Option<Vec<ServiceId>>,
-    /// The availability zones that operators evacuated, sorted.
+    /// The evacuated availability zones, sorted.
     evacuated_zones: Vec<String>,
-    /// What operators told of cold starts, sorted by service.
+    /// The cold start settings, sorted by service.
     pub(crate) cold_starts: Vec<ColdStart>,
-    /// How long callers wait who have time for one attempt, sorted by the address that they call.
+    /// The deadlines of callers that have time for one attempt only, sorted by the address that
+    /// they call.
     pub(crate) deadlines: Vec<Deadline>,
 }
 
 impl OperatorValues {
-    /// Takes the services that operators named.
+    /// Sets the configured services.
     pub(crate) fn set_services(&mut self, mut services: Vec<ServiceId>) {
         services.sort_unstable();
         self.services = Some(services);
     }
 
-    /// Takes whether an availability zone is evacuated; says whether that changed.
+    /// Sets whether an availability zone is evacuated; returns whether that changed.
     pub(crate) fn set_zone_evacuated(&mut self, zone: &str, is_evacuated: bool) -> bool {
         match (self.find_zone(zone), is_evacuated) {
             (Err(index), true) => self.evacuated_zones.insert(index, zone.to_owned()),
@@ -46,7 +48,7 @@
         &self.evacuated_zones
     }
 
-    /// Tells whether the availability zone of an entry is evacuated.
+    /// Returns whether the availability zone of an entry is evacuated.
     pub(crate) fn is_evacuated(&self, entry: &PublishedEntry) -> bool {
         self.find_zone(&entry.backend.zone).is_ok()
     }
@@ -56,17 +58,17 @@
             .binary_search_by(|known| known.as_str().cmp(zone))
     }
 
-    /// Tells whether operators named the service of an entry.
+    /// Returns whether the service of an entry is configured.
     ///
-    /// One that they did not name was written by another program. Believed, its entry would take the address
-    /// of a backend server that serves, or add a host to those asked which never answers.
-    pub(crate) fn is_named(&self, entry: &PublishedEntry) -> bool {
+    /// An entry of any other service was written by another program. Used, it would take over the
+    /// address of a backend server that serves, or add a host to lookups that never answers.
+    pub(crate) fn has_service_of(&self, entry: &PublishedEntry) -> bool {
         let service = entry.backend.service;
-        let named = |services: &Vec<ServiceId>| services.binary_search(&service).is_ok();
-        self.services.as_ref().is_none_or(named)
+        let has_service = |services: &Vec<ServiceId>| services.binary_search(&service).is_ok();
+        self.services.as_ref().is_none_or(has_service)
     }
 
-    /// Returns what operators told of the cold starts of a service's backend servers.
+    /// Returns the cold start settings of a service.
     pub(crate) fn cold_start(&self, service: ServiceId) -> Option<ColdStart> {
         let found = self
             .cold_starts
@@ -74,7 +76,7 @@
         found.ok().map(|index| self.cold_starts[index])
     }
 
-    /// Returns how long the callers of an address wait, if they have time for one attempt only.
+    /// Returns the deadline of the callers of an address, if they have time for one attempt only.
     pub(crate) fn deadline(&self, called: SocketAddrV4) -> Option<Deadline> {
         let found = self
             .deadlines
--- a/src/opaque/values/published_entries.rs
+++ b/src/opaque/values/published_entries.rs
@@ -1,4 +1,4 @@
-//! The published entries of backend servers, those that vanished lately among them.
+//! The published entries of backend servers, including those that were removed recently.
 
 use crate::code::Code;
 use crate::config::backend_entry::{BackendState, BackendValue};
@@ -9,20 +9,20 @@
 #[derive(Debug, Default)]
 pub(crate) struct PublishedEntries {
     entries: Vec<PublishedEntry>,
-    /// Ids whose values name no backend server to use, sorted.
-    unusable: Vec<String>,
+    /// The ids of entries whose value can't be used, sorted.
+    unusable_ids: Vec<String>,
 }
 
 impl PublishedEntries {
-    /// Takes what is published of one backend server.
-    pub(crate) fn put(&mut self, change: BackendChange<'_>, now_ms: u64) {
-        self.note_usable(&change);
+    /// Applies a change of one backend server.
+    pub(crate) fn apply(&mut self, change: BackendChange<'_>, now_ms: u64) {
+        self.update_usability(&change);
         let found = self
             .entries
             .binary_search_by(|entry| entry.id.as_str().cmp(change.id));
         match (found, change.value) {
             (Ok(index), BackendValue::Published(backend)) => {
-                self.entries[index].take(backend, change.revision, now_ms);
+                self.entries[index].update(backend, change.revision, now_ms);
             }
             (Ok(index), BackendValue::Unusable(_)) => {
                 let entry = &mut self.entries[index];
@@ -43,24 +43,24 @@
                 let entry = PublishedEntry::new(change.id, backend, change.revision, now_ms);
                 self.entries.insert(index, entry);
             }
-            // Nothing is known of it: its host can't be asked, and its agent makes itself known.
+            // Its host is unknown and can't be asked; its agent announces the backend server.
             (Err(_), BackendValue::Unusable(_) | BackendValue::Gone) => {}
         }
     }
 
-    /// Notes whether a value can be used; says so where that changed.
-    fn note_usable(&mut self, change: &BackendChange<'_>) {
+    /// Records whether a value can be used, and logs each change of that.
+    fn update_usability(&mut self, change: &BackendChange<'_>) {
         let BackendChange {
             id,
             value,
             revision,
         } = change;
         let found = self
-            .unusable
+            .unusable_ids
             .binary_search_by(|known| known.as_str().cmp(id));
         match (found, value) {
             (Err(index), BackendValue::Unusable(reason)) => {
-                self.unusable.insert(index, (*id).to_owned());
+                self.unusable_ids.insert(index, (*id).to_owned());
                 let code = Code::EntryUnusable.number();
                 let reason = reason.word();
                 log::warn!(
@@ -68,32 +68,32 @@
                 );
             }
             (Ok(index), BackendValue::Published(_) | BackendValue::Gone) => {
-                self.unusable.remove(index);
+                self.unusable_ids.remove(index);
                 log::info!("event=entry_mended id={id:?} revision={revision}");
             }
             _ => {}
         }
     }
 
-    /// Returns how many values name no backend server to use.
+    /// Returns the number of entries whose value can't be used.
     pub(crate) fn unusable_count(&self) -> usize {
-        self.unusable.len()
+        self.unusable_ids.len()
     }
 
-    /// Returns all entries in order of their ids.
+    /// Returns all entries, sorted by id.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &PublishedEntry> {
         self.entries.iter()
     }
 
-    /// Tells whether time alone changes what some entry is good for.
-    pub(crate) fn has_lapses(&self) -> bool {
-        let lapses =
+    /// Returns whether the state of some entry changes by the passage of time alone.
+    pub(crate) fn has_expiring(&self) -> bool {
+        let is_expiring =
             |entry: &PublishedEntry| entry.gone.is_some() || entry.unusable_since_ms.is_some();
-        self.entries.iter().any(lapses)
+        self.entries.iter().any(is_expiring)
     }
 
-    /// Forgets what vanished long ago.
-    pub(crate) fn forget(&mut self, now_ms: u64) {
+    /// Removes entries that have been gone for [`GONE_RETENTION_MS`].
+    pub(crate) fn remove_expired(&mut self, now_ms: u64) {
         self.entries.retain(|entry| {
             let gone = entry.gone;
             gone.is_none_or(|gone| now_ms < gone.since_ms + GONE_RETENTION_MS)
--- a/src/opaque/values/settle_state.rs
+++ b/src/opaque/values/settle_state.rs
@@ -1,89 +1,94 @@
-//! Whether a process may take a backend server that is not published for gone.
+//! Whether a process may treat a backend server that is not published as gone.
 
 use crate::opaque::values::published_entry::LAPSE_GRACE_MS;
 
-/// How long a process that remembers nothing waits for agents of backend servers that are not published
-/// to make themselves known, in milliseconds: two of their announcements and their start beside its own.
+/// The time for which a starting process waits for announcements of backend servers that are not
+/// published, in milliseconds: two announcement intervals, and time for agents that start together
+/// with it.
 pub(crate) const START_SETTLE_MS: u64 = 300;
 
-/// What a process may have missed before it had values.
+/// Whether a process may have missed lapses of entries before it had values, and for how long it
+/// waits for their return.
 #[derive(Debug, Default)]
 pub(crate) struct SettleState {
-    /// Until when entries that lapsed before this process started may come back.
-    until_ms: u64,
-    /// Whether the first read of the platform succeeded, once it has ended.
+    /// The time until which entries that lapsed before this process started may come back.
+    unsettled_until_ms: u64,
+    /// Whether the first read of the platform succeeded; `None` until it has ended.
     first_read_succeeded: Option<bool>,
-    /// Since when this process has had values.
+    /// The time since which this process has values.
     in_force_since_ms: Option<u64>,
 }
 
 impl SettleState {
-    /// Notes how a read of the platform ended; the first one counts.
-    pub(crate) fn note_read(&mut self, succeeded: bool) {
-        self.first_read_succeeded.get_or_insert(succeeded);
+    /// Records whether a read of the platform succeeded; only the first call has an effect.
+    pub(crate) fn record_first_read(&mut self, has_succeeded: bool) {
+        self.first_read_succeeded.get_or_insert(has_succeeded);
     }
 
-    /// Notes that this process has values now.
-    pub(crate) fn start(&mut self, now_ms: u64) {
+    /// Records that this process has values from now on.
+    pub(crate) fn record_in_force(&mut self, now_ms: u64) {
         self.in_force_since_ms = Some(now_ms);
     }
 
-    /// Tells whether this process has had values.
-    pub(crate) fn is_started(&self) -> bool {
+    /// Returns whether this process has values.
+    pub(crate) fn has_values(&self) -> bool {
         self.in_force_since_ms.is_some()
     }
 
-    /// Tells whether the first read of the platform failed.
-    pub(crate) fn has_missed_platform(&self) -> bool {
+    /// Returns whether the first read of the platform failed.
+    pub(crate) fn has_first_read_failed(&self) -> bool {
         self.first_read_succeeded == Some(false)
     }
 
-    /// Tells whether a backend server that is not published may be taken for gone.
+    /// Returns whether a backend server that is not published may be treated as gone.
     ///
-    /// A process that remembers nothing and found the platform away can't know which entries lapsed
-    /// meanwhile; they are back soon after its return. Who hears of such a process waits
-    /// with it, since its own read may have come just after the return.
+    /// A process that starts without values while the platform is unreachable can't know which
+    /// entries lapsed during the outage; they are back soon after it. Its peers wait too, since
+    /// their own reads may have come just after the end of the outage.
     ///
-    /// `clock_ms` is the time up to which entries that came back have been seen.
+    /// `clock_ms` is the time at which values were last known to be the newest.
     pub(crate) fn is_settled(&self, clock_ms: u64, now_ms: u64) -> bool {
         let Some(since_ms) = self.in_force_since_ms else {
             return false;
         };
-        let heard_all = now_ms >= since_ms + START_SETTLE_MS;
-        heard_all && clock_ms >= self.until_ms
+        let has_all_announcements = now_ms >= since_ms + START_SETTLE_MS;
+        has_all_announcements && clock_ms >= self.unsettled_until_ms
     }
 
-    /// Waits with a process that says for how long something may come back which it missed.
+    /// Becomes unsettled for as long as a peer is, if this process may have missed the same lapses.
     ///
-    /// A process that saw it vanish remembers whom to ask, and need not wait.
-    pub(crate) fn wait_with(&mut self, unsettled_ms: u64, clock_ms: u64, now_ms: u64) {
-        if self.has_missed(unsettled_ms, now_ms) {
+    /// A process that saw the entries lapse remembers their hosts, and does not have to wait.
+    pub(crate) fn unsettle_with_peer(&mut self, unsettled_ms: u64, clock_ms: u64, now_ms: u64) {
+        if self.may_have_missed(unsettled_ms, now_ms) {
             self.unsettle(unsettled_ms, clock_ms, now_ms);
         }
     }
 
-    /// Tells whether this process had no values yet when what may come back for so long vanished.
-    fn has_missed(&self, unsettled_ms: u64, now_ms: u64) -> bool {
+    /// Returns whether this process had no values yet when an entry lapsed that may come back for
+    /// another `unsettled_ms`.
+    fn may_have_missed(&self, unsettled_ms: u64, now_ms: u64) -> bool {
         let Some(since_ms) = self.in_force_since_ms else {
             return true;
         };
-        let vanished_ms_ago = LAPSE_GRACE_MS.saturating_sub(unsettled_ms);
-        now_ms.saturating_sub(vanished_ms_ago) < since_ms
+        let lapsed_ms_ago = LAPSE_GRACE_MS.saturating_sub(unsettled_ms);
+        now_ms.saturating_sub(lapsed_ms_ago) < since_ms
     }
 
-    /// Waits for what may come back within a time.
+    /// Becomes unsettled for at least `for_ms` from now.
     pub(crate) fn unsettle(&mut self, for_ms: u64, clock_ms: u64, now_ms: u64) {
         let until_ms = now_ms + for_ms;
-        if until_ms > self.until_ms {
+        if until_ms > self.unsettled_until_ms {
             if self.is_settled(clock_ms, now_ms) {
                 log::warn!("event=unsettled for_ms={for_ms}");
             }
-            self.until_ms = until_ms;
+            self.unsettled_until_ms = until_ms;
         }
     }
 
-    /// Returns for how long something may still come back that this process missed, in milliseconds.
+    /// Returns the remaining time for which this process is unsettled, in milliseconds.
     pub(crate) fn unsettled_ms(&self, clock_ms: u64) -> u64 {
-        self.until_ms.saturating_sub(clock_ms).min(LAPSE_GRACE_MS)
+        self.unsettled_until_ms
+            .saturating_sub(clock_ms)
+            .min(LAPSE_GRACE_MS)
     }
 }
--- a/src/opaque/values/source.rs
+++ b/src/opaque/values/source.rs
@@ -1,4 +1,4 @@
-//! Where published values are read, as the adapter of a platform provides it.
+//! The interface through which published values are read; the adapter of a platform implements it.
 
 use futures_util::future::LocalBoxFuture;
 
@@ -7,19 +7,20 @@
 use crate::config::stamp::Stamp;
 use crate::error::{Error, Result};
 
-/// One published value; without a text it is no longer published.
+/// One state of a published value.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PublishedValue {
-    /// Its name among the values of the product.
+    /// The name of the value.
     pub name: String,
-    /// Where this state stands among all that the value had.
+    /// The revision and version of this state.
     pub stamp: Stamp,
-    /// Its text in the product's format.
+    /// The text in the product's format; `None` if the value is no longer published.
     pub text: Option<String>,
 }
 
 impl PublishedValue {
-    /// Returns this state as one of an era, where its platform tells the era beside what was read.
+    /// Returns this state with the era set, for platforms that report the era separately from
+    /// values.
     pub fn with_era(mut self, era: u64) -> Self {
         let number = self.stamp.revision.number();
         self.stamp.revision = Revision::new(era, number).unwrap_or_default();
@@ -27,60 +28,63 @@
     }
 }
 
-/// What one read brought.
+/// The result of one read.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Batch {
-    /// The revision up to which this tells everything.
+    /// The revision up to which the batch is complete.
     pub revision: Revision,
-    /// The values.
+    /// The values, in the order in which they were read.
     pub values: Vec<PublishedValue>,
-    /// Whether these are all values that are published.
+    /// Whether the batch contains all published values, and not only changes.
     pub is_whole: bool,
 }
 
-/// A read of the platform.
+/// A kind of read of the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlatformRead {
-    /// All values, as they were at some time in the last seconds: the cheapest read.
+    /// Reads all values, as they were at some time in the last seconds: the cheapest read.
     Recent,
-    /// All values as they are now.
+    /// Reads all values as they are now.
     Whole,
-    /// What changes after a revision, after at most this long.
+    /// Waits for changes after a revision and reads them.
     Changes {
-        /// The revision after which changes count.
+        /// The revision after which changes are read.
         after: Revision,
-        /// How long to wait for one, in milliseconds.
+        /// The longest wait for a change, in milliseconds.
         wait_ms: u64,
     },
 }
 
-type Reading = LocalBoxFuture<'static, Result<Batch>>;
+type ReadFuture = LocalBoxFuture<'static, Result<Batch>>;
 
-/// The reads of one platform.
+/// The read operations of one platform.
 ///
-/// A read fails with code 5005 where the platform no longer has the changes after that revision,
-/// and with 5002 where it does not answer.
+/// A read fails with code 5005 if the platform no longer has the changes after the requested
+/// revision, and with code 5002 if it does not answer.
 pub struct PlatformSource {
     /// Performs a read.
-    pub read: Box<dyn Fn(PlatformRead) -> Reading>,
+    pub read: Box<dyn Fn(PlatformRead) -> ReadFuture>,
 }
 
-/// Passes a batch that belongs to the history of the platform which was asked for.
+/// Returns the batch of a read unless it belongs to another era than the one that was asked for.
 ///
 /// # Errors
 ///
-/// Returns code 5005 for changes after a revision of another history: what the platform took since it came back from an
-/// older copy may have lower numbers, which a watch from there passes over.
-pub(crate) fn of_one_history(read: PlatformRead, batch: Batch) -> Result<Batch> {
+/// Returns code 5005 for changes after a revision of another era: changes since the platform was
+/// restored from an older copy may have lower numbers, which a watch from that revision skips.
+pub(crate) fn check_era(read: PlatformRead, batch: Batch) -> Result<Batch> {
     match read {
-        PlatformRead::Changes { after, .. } if after.era() != batch.revision.era() => Err(
-            history_forgotten_error(format!("after {after} comes {}", batch.revision)),
-        ),
+        PlatformRead::Changes { after, .. } if after.era() != batch.revision.era() => {
+            Err(history_forgotten_error(format!(
+                "asked for changes after revision {after}, got revision {} of another era",
+                batch.revision
+            )))
+        }
         _ => Ok(batch),
     }
 }
 
-/// Returns the error of a platform that no longer has the changes that were asked for.
+/// Returns the error for a platform that no longer has the requested changes.
 pub fn history_forgotten_error(message: impl Into<String>) -> Error {
     Error::new(Code::PlatformForgot, message)
 }
--- a/src/opaque/values/startup_backoff.rs
+++ b/src/opaque/values/startup_backoff.rs
@@ -1,41 +1,43 @@
-//! When a process that has no configuration yet reads the platform.
+//! The retry backoff of platform reads by a process that has no configuration yet.
 //!
-//! Each reads once as soon as it starts. Where that fails, the seeds go on, and the others leave it to them for as
-//! long as a seed answers: whole sites start while the platform answers nobody, and each process that asks again and
-//! again adds a refused call. See docs/OPAQUE.md, "How values travel".
+//! Each process reads once when it starts. If that fails, only seeds keep retrying often; the other
+//! processes rely on them for as long as a seed answers. Whole sites may start while the platform
+//! is unreachable, and each process that retries adds failing calls. See docs/OPAQUE.md, "How
+//! values travel".
 
 use rand::Rng;
 
-/// How long a seed waits after a failed read, at first and at most, in milliseconds.
-const SEED_WAIT_MS: (u64, u64) = (200, 300);
-/// The same for a process whom no seed answers.
-const ALONE_WAIT_MS: (u64, u64) = (200, 2_400);
-/// The same for a process whom a seed answers: one of the seeds may be served later than this process, or not at all.
-const LED_WAIT_MS: (u64, u64) = (3_000, 48_000);
-/// For how long a seed that says nothing counts as one that answers, in milliseconds: some of its answers, which come
-/// five times a second.
-const SEED_SILENT_MS: u64 = 1_000;
+/// The first and the longest wait of a seed after a failed read, in milliseconds.
+const SEED_WAITS_MS: (u64, u64) = (200, 300);
+/// The same for a process that no seed answers.
+const NO_SEED_WAITS_MS: (u64, u64) = (200, 2_400);
+/// The same for a process that a seed answers. It still reads itself now and then, since the
+/// platform may answer the seeds later than this process, or never.
+const SEEDED_WAITS_MS: (u64, u64) = (3_000, 48_000);
+/// The time after a seed's last answer for which it is considered alive, in milliseconds: several
+/// answers, which come five times a second.
+const SEED_TIMEOUT_MS: u64 = 1_000;
 
-/// What a starting process knows of its own reads and of the seeds.
+/// The failed reads of a starting process, and the answers of seeds to it.
 #[derive(Debug)]
 pub struct StartupBackoff {
     is_seed: bool,
-    /// When a seed answered last, or this process started.
-    seed_heard_ms: u64,
-    /// Whether somebody was heard who holds a configuration, since the last read.
+    /// The time of the last answer of a seed, or the start of this process.
+    last_seed_answer_ms: u64,
+    /// Whether a peer has been found to hold a configuration since the last read.
     has_peer_configuration: bool,
     failures: u32,
     last_failed_ms: u64,
-    /// By how much this process waits longer than it must, as a share of 256, so that not all ask at once.
+    /// The additional share of each wait, in 1/256, so that processes do not read at the same time.
     jitter: u64,
 }
 
 impl StartupBackoff {
-    /// Notes the start of a process, which may be a seed itself.
+    /// Makes the backoff of a process that starts now.
     pub fn new(is_seed: bool, now_ms: u64) -> Self {
         Self {
             is_seed,
-            seed_heard_ms: now_ms,
+            last_seed_answer_ms: now_ms,
             has_peer_configuration: false,
             failures: 0,
             last_failed_ms: now_ms,
@@ -43,45 +45,46 @@
         }
     }
 
-    /// Notes that a seed answered.
+    /// Records an answer of a seed.
     pub fn record_seed_answer(&mut self, now_ms: u64) {
-        self.seed_heard_ms = now_ms;
+        self.last_seed_answer_ms = now_ms;
     }
 
-    /// Notes that somebody holds a configuration: the platform may answer again.
+    /// Records that a peer holds a configuration, so that the platform may be reachable again.
     pub fn record_peer_configuration(&mut self) {
         self.has_peer_configuration = true;
     }
 
-    /// Notes a read that failed.
+    /// Records a failed read.
     pub fn record_failure(&mut self, now_ms: u64) {
         self.failures += 1;
         self.last_failed_ms = now_ms;
         self.has_peer_configuration = false;
     }
 
-    /// Tells whether to read now.
+    /// Returns whether a read is due.
     pub fn is_due(&self, now_ms: u64) -> bool {
         if self.failures == 0 {
             return true;
         }
-        let (first_ms, most_ms) = self.wait_ms(now_ms);
+        let (first_wait_ms, max_wait_ms) = self.waits_ms(now_ms);
         let waited_ms = now_ms.saturating_sub(self.last_failed_ms);
         if self.has_peer_configuration {
-            return waited_ms >= SEED_WAIT_MS.0;
+            return waited_ms >= SEED_WAITS_MS.0;
         }
         let doublings = (self.failures - 1).min(u64::BITS / 2);
-        let wait_ms = (first_ms << doublings).min(most_ms);
+        let wait_ms = (first_wait_ms << doublings).min(max_wait_ms);
         waited_ms >= wait_ms + wait_ms * self.jitter / 256
     }
 
-    fn wait_ms(&self, now_ms: u64) -> (u64, u64) {
+    /// Returns the first and the longest wait after failed reads.
+    fn waits_ms(&self, now_ms: u64) -> (u64, u64) {
         if self.is_seed {
-            SEED_WAIT_MS
-        } else if now_ms < self.seed_heard_ms + SEED_SILENT_MS {
-            LED_WAIT_MS
+            SEED_WAITS_MS
+        } else if now_ms < self.last_seed_answer_ms + SEED_TIMEOUT_MS {
+            SEEDED_WAITS_MS
         } else {
-            ALONE_WAIT_MS
+            NO_SEED_WAITS_MS
         }
     }
 }
--- a/src/opaque/values/value_change.rs
+++ b/src/opaque/values/value_change.rs
@@ -1,4 +1,4 @@
-//! What a value in force tells the directory.
+//! The parsed form of a changed value, as the directory applies it.
 
 use crate::config::backend_entry::BackendValue;
 use crate::config::cold_starts::{COLD_STARTS_NAME, ColdStart, cold_starts};
@@ -12,7 +12,7 @@
 use crate::opaque::values::backend_change::BackendChange;
 use crate::opaque::{BACKEND_PREFIX, ROUTES_NAME};
 
-/// A change of what is published, by the kind of the value.
+/// A change of a published value, by its kind.
 #[derive(Debug)]
 pub(crate) enum ValueChange<'a> {
     Backend(BackendChange<'a>),
@@ -24,10 +24,10 @@
 }
 
 impl<'a> ValueChange<'a> {
-    /// Reads a value in force; `None` where it is of a kind that this version does not know.
+    /// Parses a value in force; returns `None` for a kind that this version does not know.
     ///
-    /// The store has parsed its text already, when it took it, so that no text is unsound here.
-    pub(crate) fn of(value: &'a StoredValue) -> Option<Self> {
+    /// The store accepts only texts that parse, so parsing does not fail here.
+    pub(crate) fn parse(value: &'a StoredValue) -> Option<Self> {
         let text = value.text.as_str();
         match value.name.as_str() {
             ROUTES_NAME => RouteTable::parse(text).ok().map(Self::Routes),
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Tells whether this is of one backend server.
+    /// Returns whether this is a change of a backend server.
     pub(crate) fn is_backend(&self) -> bool {
         matches!(self, Self::Backend(_))
     }
--- a/src/opaque/values/value_sync.rs
+++ b/src/opaque/values/value_sync.rs
@@ -1,4 +1,4 @@
-//! The controller that keeps the published values of a process new.
+//! Keeps the published values of a process up to date, from the platform and from peers.
 
 use std::cell::{Cell, RefCell};
 use std::net::Ipv4Addr;
@@ -21,35 +21,38 @@
 use crate::opaque::values::published_entry::LAPSE_GRACE_MS;
 use crate::opaque::values::restoration::{RestorationEvent, RestorationTracker};
 use crate::opaque::values::settle_state::SettleState;
-use crate::opaque::values::source::{Batch, PlatformRead, PlatformSource, of_one_history};
+use crate::opaque::values::source::{Batch, PlatformRead, PlatformSource, check_era};
 use crate::opaque::values::startup_backoff::StartupBackoff;
 
-/// How long a process waits after a failed read before the next one, at first, in milliseconds.
+/// The first wait after a failed read, in milliseconds.
 const MIN_BACKOFF_MS: u64 = 200;
 /// The longest wait after a failed read, in milliseconds: half of the time in which values that
-/// lapsed while the platform was away are back.
+/// lapsed during an outage of the platform are back.
 const MAX_BACKOFF_MS: u64 = 1_000;
-/// How often a starting process asks its seeds, in milliseconds.
-const START_ASK_MS: u64 = 200;
-/// How often a starting process looks whether it has a configuration, in milliseconds.
-const START_LOOK_MS: u64 = 10;
-/// How often a process that does not read looks whether it should, in milliseconds.
-const LOOK_MS: u64 = 100;
-/// How long a reader waits after a change before it watches again, in milliseconds: changes that come
-/// in a row cost one call.
+/// The interval at which a starting process asks its seeds, in milliseconds.
+const SEED_ASK_INTERVAL_MS: u64 = 200;
+/// The interval at which a starting process checks whether it has a configuration, in milliseconds.
+const START_POLL_MS: u64 = 10;
+/// The interval at which a process that does not read checks whether it should, in milliseconds.
+const READ_CHECK_INTERVAL_MS: u64 = 100;
+/// The pause of a reader after a change, in milliseconds, so that a burst of changes costs one
+/// call.
 const WATCH_PAUSE_MS: u64 = 150;
-/// How long a beat may stay unanswered before its receiver is suspected, in beats.
-const MISSED_BEATS: u32 = 2;
-/// What a process knows of how new its values are.
+/// The most consecutive beats that a host may leave unanswered before it is suspected.
+const MAX_MISSED_BEATS: u32 = 2;
+
+/// Reads the platform when this process has to, and pulls newer values from peers.
 pub(crate) struct ValueSync {
     control: Rc<Control>,
     source: PlatformSource,
     freshness: RefCell<Freshness>,
+    /// The revision up to which the platform has been read; zero if everything must be read.
     seen_revision: Cell<Revision>,
     restoration: RefCell<RestorationTracker>,
-    asked: Cell<Option<(Ipv4Addr, u32)>>,
-    pulling: Rc<Cell<bool>>,
-    settling: RefCell<SettleState>,
+    /// The host that beats go to, and how many of them it has not answered.
+    awaited_beats: Cell<Option<(Ipv4Addr, u32)>>,
+    is_pulling: Rc<Cell<bool>>,
+    settle_state: RefCell<SettleState>,
     startup_backoff: RefCell<StartupBackoff>,
 }
 
@@ -65,30 +68,38 @@
             freshness: RefCell::default(),
             seen_revision: Cell::default(),
             restoration: RefCell::default(),
-            asked: Cell::new(None),
-            pulling: Rc::default(),
-            settling: RefCell::default(),
+            awaited_beats: Cell::new(None),
+            is_pulling: Rc::default(),
+            settle_state: RefCell::default(),
         })
     }
 
-    /// Brings the process up: returns once a configuration is in force, from the platform or a peer.
+    /// Returns once a configuration is in force, from the platform or from a peer.
     ///
-    /// Both are asked at once and again and again, and neither waits for the other: in a site that
-    /// starts whole most peers are not there yet, and the platform may be silent.
-    pub(crate) async fn start(self: &Rc<Self>, ask: impl Fn(Ipv4Addr)) {
-        let values = self.clone();
-        let reading = compio::runtime::spawn(async move { values.read_at_start().await });
+    /// Reads the platform and asks the seeds concurrently, with retries: when a whole site starts,
+    /// most peers do not run yet and the platform may be unreachable. `ask_seed` sends a question
+    /// to a seed.
+    pub(crate) async fn start(self: &Rc<Self>, ask_seed: impl Fn(Ipv4Addr)) {
+        let value_sync = self.clone();
+        let read_task = compio::runtime::spawn(async move { value_sync.read_at_start().await });
         let mut waited_ms = 0;
         while !self.has_routes() {
-            if waited_ms % START_ASK_MS == 0 {
-                self.control.settings.seeds.iter().copied().for_each(&ask);
+            if waited_ms % SEED_ASK_INTERVAL_MS == 0 {
+                self.control
+                    .settings
+                    .seeds
+                    .iter()
+                    .copied()
+                    .for_each(&ask_seed);
             }
-            compio::time::sleep(Duration::from_millis(START_LOOK_MS)).await;
-            waited_ms += START_LOOK_MS;
+            compio::time::sleep(Duration::from_millis(START_POLL_MS)).await;
+            waited_ms += START_POLL_MS;
         }
-        drop(reading);
-        self.settling.borrow_mut().start(self.control.now_ms());
-        if self.settling.borrow().has_missed_platform() {
+        drop(read_task);
+        self.settle_state
+            .borrow_mut()
+            .record_in_force(self.control.now_ms());
+        if self.settle_state.borrow().has_first_read_failed() {
             self.unsettle(LAPSE_GRACE_MS);
         }
     }
@@ -96,9 +107,11 @@
     async fn read_at_start(&self) {
         loop {
             let read = self.read(PlatformRead::Recent).await;
-            self.settling.borrow_mut().note_read(read.is_ok());
+            self.settle_state
+                .borrow_mut()
+                .record_first_read(read.is_ok());
             if let Ok(batch) = read {
-                self.take(&batch);
+                self.apply_batch(&batch);
             }
             if self.has_routes() {
                 return;
@@ -108,20 +121,22 @@
                 .borrow_mut()
                 .record_failure(self.control.now_ms());
             while !self.startup_backoff.borrow().is_due(self.control.now_ms()) {
-                compio::time::sleep(Duration::from_millis(START_LOOK_MS)).await;
+                compio::time::sleep(Duration::from_millis(START_POLL_MS)).await;
             }
         }
     }
 
-    /// Tells whether a backend server that is not published may be taken for gone.
+    /// Returns whether a backend server that is not published may be treated as gone.
     pub(crate) fn is_settled(&self) -> bool {
         let now_ms = self.control.now_ms();
         let clock_ms = self.lapse_clock_ms();
-        self.settling.borrow().is_settled(clock_ms, now_ms)
+        self.settle_state.borrow().is_settled(clock_ms, now_ms)
     }
 
-    /// Returns the time up to which entries that came back have been seen: when the values were last
-    /// known to be the newest.
+    /// Returns the clock by which lapses are measured: the time at which the values were last known
+    /// to be the newest.
+    ///
+    /// The return of a lapsed entry after that time may not have been read yet.
     pub(crate) fn lapse_clock_ms(&self) -> u64 {
         let now_ms = self.control.now_ms();
         now_ms - self.freshness.borrow().age_ms(now_ms)
@@ -130,21 +145,22 @@
     fn unsettle(&self, for_ms: u64) {
         let now_ms = self.control.now_ms();
         let clock_ms = self.lapse_clock_ms();
-        let mut settling = self.settling.borrow_mut();
-        settling.unsettle(for_ms, clock_ms, now_ms);
+        let mut settle_state = self.settle_state.borrow_mut();
+        settle_state.unsettle(for_ms, clock_ms, now_ms);
     }
 
-    /// Returns for how long this process will be unsettled, in milliseconds.
+    /// Returns the remaining time for which this process is unsettled, in milliseconds.
     fn unsettled_ms(&self) -> u64 {
-        let settling = self.settling.borrow();
-        let waits = !self.has_routes() && settling.has_missed_platform();
-        if waits {
+        let settle_state = self.settle_state.borrow();
+        let is_starting_without_platform =
+            !self.has_routes() && settle_state.has_first_read_failed();
+        if is_starting_without_platform {
             return LAPSE_GRACE_MS;
         }
-        settling.unsettled_ms(self.lapse_clock_ms())
+        settle_state.unsettled_ms(self.lapse_clock_ms())
     }
 
-    /// Tells whether a configuration is in force.
+    /// Returns whether a configuration is in force.
     pub(crate) fn has_routes(&self) -> bool {
         self.control
             .store
@@ -153,15 +169,15 @@
             > Revision::ZERO
     }
 
-    /// Reads the platform forever, while this process should.
+    /// Runs forever; reads the platform whenever this process should.
     pub(crate) async fn run(self: Rc<Self>) {
         let mut backoff_ms = MIN_BACKOFF_MS;
         loop {
-            self.look_at_era();
+            self.update_restoration();
             let now_ms = self.control.now_ms();
-            let relay_position = self.relay_position();
-            if !self.freshness.borrow().should_read(relay_position, now_ms) {
-                compio::time::sleep(Duration::from_millis(LOOK_MS)).await;
+            let position = self.relay_position();
+            if !self.freshness.borrow().should_read(position, now_ms) {
+                compio::time::sleep(Duration::from_millis(READ_CHECK_INTERVAL_MS)).await;
                 continue;
             }
             if self.read_once(now_ms).await {
@@ -174,28 +190,28 @@
         }
     }
 
-    /// Reads what changed, or everything where that is not known; says whether it succeeded.
+    /// Reads changes, or everything if no revision has been read yet; returns whether it succeeded.
     async fn read_once(&self, now_ms: u64) -> bool {
         let after = self.seen_revision.get();
-        let stale = self.freshness.borrow().age_ms(now_ms) > WATCH_WAIT_MS;
+        let is_stale = self.freshness.borrow().age_ms(now_ms) > WATCH_WAIT_MS;
         let read = match after {
             Revision::ZERO => PlatformRead::Whole,
             after => PlatformRead::Changes {
                 after,
-                // What may be old already is confirmed at once.
-                wait_ms: if stale { 0 } else { WATCH_WAIT_MS },
+                // Stale values are confirmed at once.
+                wait_ms: if is_stale { 0 } else { WATCH_WAIT_MS },
             },
         };
         let batch = self.read(read).await;
-        match batch.and_then(|batch| of_one_history(read, batch)) {
+        match batch.and_then(|batch| check_era(read, batch)) {
             Ok(batch) => {
-                self.take(&batch);
-                let read_ms = match read {
+                self.apply_batch(&batch);
+                let confirmed_ms = match read {
                     PlatformRead::Changes { wait_ms: 0, .. } => now_ms,
                     PlatformRead::Changes { .. } => self.control.now_ms(),
                     PlatformRead::Recent | PlatformRead::Whole => now_ms,
                 };
-                self.freshness.borrow_mut().confirm(read_ms);
+                self.freshness.borrow_mut().confirm(confirmed_ms);
                 if !batch.values.is_empty() {
                     compio::time::sleep(Duration::from_millis(WATCH_PAUSE_MS)).await;
                 }
@@ -210,6 +226,7 @@
         }
     }
 
+    /// Reads the platform; records the outcome in metrics, the log and the freshness.
     async fn read(&self, read: PlatformRead) -> Result<Batch> {
         self.control.metrics.platform_calls.inc();
         let started_ms = self.control.now_ms();
@@ -234,20 +251,22 @@
         result
     }
 
-    /// Notes where the platform came back from an older copy, and where it has settled again.
-    fn look_at_era(&self) {
+    /// Detects a restore of the platform from an older copy, and the end of the settling time after
+    /// it.
+    fn update_restoration(&self) {
         let highest = self.control.store.borrow().digest().highest;
-        // All that was read in a new era may be older than what is in force.
+        // Everything that was read in a new era may be older than the values in force.
         let highest = highest.max(self.seen_revision.get());
         let clock_ms = self.lapse_clock_ms();
-        let step = self
+        let event = self
             .restoration
             .borrow_mut()
             .observe_era(highest.era(), clock_ms);
-        match step {
+        match event {
             None => {}
-            // To a process that starts any era is new; those that saw the return tell it how long ago that was.
-            Some(RestorationEvent::Restored) if !self.settling.borrow().is_started() => {}
+            // To a starting process any era is new; peers that saw the restore report how long they
+            // are unsettled.
+            Some(RestorationEvent::Restored) if !self.settle_state.borrow().has_values() => {}
             Some(RestorationEvent::Restored) => {
                 log::warn!("event=platform_restored revision={highest}");
                 self.unsettle(LAPSE_GRACE_MS);
@@ -256,14 +275,15 @@
                 log::info!("event=platform_settled revision={highest}");
                 let era = self.restoration.borrow().era();
                 self.control.store.borrow_mut().settle(era);
-                // What was not believed until now is read again.
+                // Values that were rejected while the era was unsettled are read again.
                 self.seen_revision.set(Revision::ZERO);
             }
         }
     }
 
-    /// Says so where values are dropped since others are in force with a higher revision.
-    fn note_dropped(&self, batch: &Batch) {
+    /// Counts and logs values of a batch that are dropped, since values with a higher revision are
+    /// in force.
+    fn report_dropped(&self, batch: &Batch) {
         let store = self.control.store.borrow();
         let dropped = dropped_values(&store, batch);
         let metrics = &self.control.metrics.opaque;
@@ -280,49 +300,52 @@
         );
     }
 
-    fn take(&self, batch: &Batch) {
-        self.note_dropped(batch);
-        let vanished = removed_names(&self.control.store.borrow(), batch);
-        let mut news = {
+    /// Puts the new values of a batch into force, and the removal of values that it no longer
+    /// contains.
+    fn apply_batch(&self, batch: &Batch) {
+        self.report_dropped(batch);
+        let removed = removed_names(&self.control.store.borrow(), batch);
+        let mut states = {
             let store = self.control.store.borrow();
             new_values(&store, batch)
         };
-        let gone = vanished.iter().map(|name| ValueState {
+        let removals = removed.iter().map(|name| ValueState {
             name,
             stamp: batch.revision.into(),
             text: GONE_TEXT,
         });
-        news.extend(gone);
-        self.control.accept_all(&news);
+        states.extend(removals);
+        self.control.accept_all(&states);
         if batch.revision > self.seen_revision.get() {
             self.seen_revision.set(batch.revision);
         }
-        self.look_at_era();
+        self.update_restoration();
     }
 
+    /// Returns the position of this process in the relay order of the hosts that are not suspected.
     fn relay_position(&self) -> RelayPosition {
         let now_ms = self.control.now_ms();
         let suspicion = self.control.suspicion.borrow();
         let store = self.control.store.borrow();
-        let me = self.control.settings.host;
-        let asker = ProcessLocation {
-            host: me,
+        let own_host = self.control.settings.host;
+        let location = ProcessLocation {
+            host: own_host,
             zone: &self.control.settings.zone,
         };
-        let trusted = |host| !suspicion.is_suspected(host, now_ms);
-        let mut relay_position = freshness::relay_position(store.hosts(), asker, trusted);
-        // While nobody is published the seeds read, and the others ask them.
+        let is_trusted = |host| !suspicion.is_suspected(host, now_ms);
+        let mut position = freshness::relay_position(store.hosts(), location, is_trusted);
+        // While no backend server is published, the seeds read and the others poll them.
         let seeds = &self.control.settings.seeds;
-        if relay_position.parent.is_none() && relay_position.rank > 0 && !seeds.contains(&me) {
-            let first = hash::host_hash(me) as usize % seeds.len().max(1);
+        if position.parent.is_none() && position.rank > 0 && !seeds.contains(&own_host) {
+            let first = hash::host_hash(own_host) as usize % seeds.len().max(1);
             let mut from_first = seeds[first..].iter().chain(&seeds[..first]).copied();
-            relay_position.parent = from_first.find(|seed| trusted(*seed));
+            position.parent = from_first.find(|seed| is_trusted(*seed));
         }
-        relay_position
+        position
     }
 
-    /// Fills in what every message tells about its sender's values.
-    pub(crate) fn sign(&self, message: &mut Message) {
+    /// Sets the fields of a message that describe the state of its sender's values.
+    pub(crate) fn fill_in_state(&self, message: &mut Message) {
         let now_ms = self.control.now_ms();
         message.unsettled_ms = self.unsettled_ms() as u16;
         message.digest = self.control.store.borrow().digest();
@@ -330,42 +353,47 @@
         message.age_ms = age_ms.map_or(UNKNOWN_AGE_MS, |age_ms| age_ms as u32);
     }
 
-    /// Returns whom to ask now, and suspects who did not answer before.
-    pub(crate) fn beat(&self) -> Option<Ipv4Addr> {
+    /// Returns the host that the next beat goes to, and suspects it if it did not answer earlier
+    /// ones.
+    pub(crate) fn next_beat(&self) -> Option<Ipv4Addr> {
         let now_ms = self.control.now_ms();
         let age_ms = self.freshness.borrow().age_ms(now_ms);
         let metrics = &self.control.metrics.opaque;
         metrics.values_age_seconds.set(age_ms as f64 / 1_000.0);
         let parent = self.relay_position().parent?;
-        let missed = match self.asked.get() {
-            Some((host, missed)) if host == parent => missed + 1,
+        let missed_beats = match self.awaited_beats.get() {
+            Some((host, missed_beats)) if host == parent => missed_beats + 1,
             _ => 0,
         };
-        self.asked.set(Some((parent, missed)));
-        if missed > MISSED_BEATS {
+        self.awaited_beats.set(Some((parent, missed_beats)));
+        if missed_beats > MAX_MISSED_BEATS {
             self.control.metrics.opaque.hosts_suspected.inc();
-            log::info!("event=host_suspected host={parent} missed_beats={missed}");
+            log::info!("event=host_suspected host={parent} missed_beats={missed_beats}");
             self.control.suspicion.borrow_mut().suspect(parent, now_ms);
-            self.asked.set(None);
+            self.awaited_beats.set(None);
         }
         Some(parent)
     }
 
-    /// Takes the answer to a beat.
-    pub(crate) fn beat_answered(self: &Rc<Self>, from: Ipv4Addr, message: &Message) {
+    /// Handles the reply to a beat; pulls from the sender if its values differ.
+    pub(crate) fn handle_beat_reply(self: &Rc<Self>, from: Ipv4Addr, message: &Message) {
         let Message { digest, age_ms, .. } = *message;
         let now_ms = self.control.now_ms();
         if self.control.settings.seeds.contains(&from) {
             self.startup_backoff.borrow_mut().record_seed_answer(now_ms);
         }
-        if self.asked.get().is_some_and(|(host, _)| host == from) {
-            self.asked.set(Some((from, 0)));
+        if self
+            .awaited_beats
+            .get()
+            .is_some_and(|(host, _)| host == from)
+        {
+            self.awaited_beats.set(Some((from, 0)));
         }
         self.control.suspicion.borrow_mut().answered(from);
-        let failing = age_ms == UNKNOWN_AGE_MS;
-        self.freshness.borrow_mut().set_parent_failing(failing);
+        let is_failing = age_ms == UNKNOWN_AGE_MS;
+        self.freshness.borrow_mut().set_parent_failing(is_failing);
         if digest == self.control.store.borrow().digest() {
-            if !failing {
+            if !is_failing {
                 let confirmed_ms = now_ms.saturating_sub(u64::from(age_ms));
                 self.freshness.borrow_mut().confirm(confirmed_ms);
             }
@@ -374,16 +402,18 @@
         self.pull(from);
     }
 
-    /// Notes what the sender of a packet holds, which may be newer: so a change travels with the
-    /// traffic that it is about.
-    pub(crate) fn noticed(self: &Rc<Self>, from: Ipv4Addr, message: &Message) {
-        // Less by what rounding added, so that two can't keep each other unsettled.
+    /// Handles the state of the sender's values that each message carries; pulls newer values from
+    /// the sender.
+    ///
+    /// Changes spread with the traffic that they affect this way.
+    pub(crate) fn handle_peer_state(self: &Rc<Self>, from: Ipv4Addr, message: &Message) {
+        // Subtract what rounding up added, so that two processes can't keep each other unsettled.
         let unsettled_ms = u64::from(message.unsettled_ms.saturating_sub(UNSETTLED_UNIT_MS));
         if unsettled_ms > 0 {
             let now_ms = self.control.now_ms();
             let clock_ms = self.lapse_clock_ms();
-            let mut settling = self.settling.borrow_mut();
-            settling.wait_with(unsettled_ms, clock_ms, now_ms);
+            let mut settle_state = self.settle_state.borrow_mut();
+            settle_state.unsettle_with_peer(unsettled_ms, clock_ms, now_ms);
         }
         let digest = message.digest;
         if digest.highest > self.control.store.borrow().digest().highest {
@@ -392,7 +422,7 @@
                     .borrow_mut()
                     .record_peer_configuration();
             }
-            if !self.has_routes() && !self.pulling.get() {
+            if !self.has_routes() && !self.is_pulling.get() {
                 log::info!(
                     "event=configuration_from_peer host={from} revision={}",
                     digest.highest
@@ -402,17 +432,17 @@
         }
     }
 
-    /// Asks a host that holds other revisions for what is newer there, one ask at a time.
+    /// Pulls newer values from a host that holds other revisions, unless another pull runs.
     fn pull(self: &Rc<Self>, host: Ipv4Addr) {
-        if self.pulling.replace(true) {
+        if self.is_pulling.replace(true) {
             return;
         }
-        let values = self.clone();
+        let value_sync = self.clone();
         compio::runtime::spawn(async move {
-            if let Err(error) = relay::compare_with(&values.control, host).await {
+            if let Err(error) = relay::compare_with(&value_sync.control, host).await {
                 log::debug!("event=pull_failed host={host} error={error}");
             }
-            values.pulling.set(false);
+            value_sync.is_pulling.set(false);
         })
         .detach();
     }
