--- a/tests/opaque/batch_diff.rs
+++ b/tests/opaque/batch_diff.rs
@@ -1,4 +1,4 @@
-//! What a read of the platform tells that is new.
+//! Which values of a read of the platform are new, and which are dropped.
 
 use endivedyke::opaque::{
     BackendState, Batch, DroppedValue, GONE_TEXT, PublishedValue, dropped_values, new_values,
@@ -13,7 +13,7 @@
     state_text(1, BackendState::Ready)
 }
 
-/// Returns a store that holds the ready backend server since revision 7.
+/// Returns a store that holds the ready backend server at revision 7.
 fn store() -> ConfigStore {
     let mut store = ConfigStore::new(&ClusterKey::new([7; 32]));
     store.accept(NAME, 7, &ready()).expect("sound");
@@ -33,8 +33,8 @@
     }
 }
 
-/// Returns revision and text of what a store holds once it took the news of a batch.
-fn taken(mut store: ConfigStore, batch: &Batch) -> (u64, String) {
+/// Returns the revision and text that a store holds after it accepted the new values of a batch.
+fn accepted(mut store: ConfigStore, batch: &Batch) -> (u64, String) {
     for state in new_values(&store, batch) {
         store
             .accept(state.name, state.stamp, state.text)
@@ -45,15 +45,16 @@
 }
 
 #[test]
-fn a_sign_of_life_is_no_news() {
+fn a_heartbeat_is_not_a_new_value() {
     let changes = batch(false, &[(9, true), (12, true)]);
-    assert_eq!(taken(store(), &changes), (7, ready()));
+    assert_eq!(accepted(store(), &changes), (7, ready()));
 }
 
-/// A process that starts after the platform's return holds the entry's end at a revision of the new era. One that kept the
-/// end of before would have another digest, and never be taken for level.
+/// A process that starts after a restore of the platform holds the removal of the entry at a
+/// revision of the new era. A process that kept the removal from before would never have the same
+/// digest.
 #[test]
-fn the_first_state_of_an_era_is_news_though_its_text_is_known() {
+fn the_first_state_of_an_era_is_new_even_if_its_text_is_known() {
     let mut store = store();
     store.accept(NAME, 8, GONE_TEXT).expect("sound");
     let mut removed = batch(false, &[(5, false)]);
@@ -68,21 +69,21 @@
 }
 
 #[test]
-fn an_entry_that_lapsed_and_came_back_within_a_batch_is_there_and_newer() {
+fn an_entry_that_is_removed_and_restored_in_one_batch_has_the_newer_revision() {
     let changes = batch(false, &[(16, false), (25, true), (27, true)]);
-    assert_eq!(taken(store(), &changes), (25, ready()));
+    assert_eq!(accepted(store(), &changes), (25, ready()));
     let ended = batch(false, &[(16, false), (25, true), (28, false)]);
-    assert_eq!(taken(store(), &ended), (28, GONE_TEXT.to_owned()));
+    assert_eq!(accepted(store(), &ended), (28, GONE_TEXT.to_owned()));
 }
 
 #[test]
-fn after_a_whole_read_no_older_end_of_an_entry_is_believed() {
-    let (revision, text) = taken(store(), &batch(true, &[(25, true)]));
+fn a_whole_read_raises_the_revision_of_an_unchanged_entry() {
+    let (revision, text) = accepted(store(), &batch(true, &[(25, true)]));
     assert_eq!((revision, text), (25, ready()));
 }
 
 #[test]
-fn values_that_differ_and_are_older_are_told_as_dropped() {
+fn older_values_that_differ_are_dropped() {
     let same = batch(true, &[(5, true)]);
     assert_eq!(dropped_values(&store(), &same), []);
     let newer = batch(true, &[(8, false)]);
--- a/tests/opaque/directory.rs
+++ b/tests/opaque/directory.rs
@@ -1,4 +1,5 @@
-//! What a process makes of published backend servers.
+//! The directory of published backend servers: which of them take new flows, and which may hold
+//! flows.
 
 use endivedyke::ServiceId;
 use endivedyke::opaque::{Backend, BackendState};
@@ -8,7 +9,7 @@
 };
 
 #[test]
-fn one_that_vanished_without_draining_takes_flows_for_a_while() {
+fn an_entry_that_lapses_without_draining_takes_flows_for_the_grace_period() {
     let mut directory = directory(2);
     vanish(&mut directory, 1, 9, 1_000);
     directory.expire(3_400, 3_400);
@@ -19,7 +20,7 @@
 }
 
 #[test]
-fn one_that_drained_and_vanished_takes_none() {
+fn an_entry_that_is_removed_after_draining_takes_no_flows() {
     let mut directory = directory(2);
     publish(
         &mut directory,
@@ -35,7 +36,7 @@
 }
 
 #[test]
-fn one_that_lapsed_and_came_back_takes_flows() {
+fn a_lapsed_entry_that_comes_back_takes_flows() {
     let mut directory = directory(1);
     vanish(&mut directory, 1, 9, 1_000);
     publish(
@@ -50,7 +51,7 @@
 }
 
 #[test]
-fn an_address_belongs_to_the_newest_id() {
+fn the_newest_id_owns_an_address() {
     let mut directory = directory(1);
     let text = state_text(1, BackendState::Ready).replace(SERVICE, "scene-intake");
     let backend = Backend::parse(&text).expect("sound text");
@@ -60,7 +61,7 @@
         .local_backend(backend_address(1))
         .expect("published");
     assert_eq!(own.service, ServiceId::of("scene-intake"));
-    // The old id reports once more, late: the address stays with the newer one.
+    // A late write of the old id does not take the address back.
     publish(
         &mut directory,
         1,
@@ -75,7 +76,7 @@
 }
 
 #[test]
-fn malformed_values_are_refused_with_their_code() {
+fn malformed_entries_are_rejected_as_backend_syntax() {
     let texts = [
         "",
         "a,b",
@@ -93,16 +94,16 @@
 }
 
 #[test]
-fn no_cold_start_is_believed_for_longer_than_a_minute() {
-    for (told, believed) in [("0", 0), ("1800", 1_800), ("4000000000", 60_000)] {
-        let text = format!("s,10.0.0.1:80,zone,4,ready,{told}");
+fn a_cold_start_is_capped_at_one_minute() {
+    for (published_ms, expected_ms) in [("0", 0), ("1800", 1_800), ("4000000000", 60_000)] {
+        let text = format!("s,10.0.0.1:80,zone,4,ready,{published_ms}");
         let backend = Backend::parse(&text).expect("sound").expect("there");
-        assert_eq!(backend.cold_ms, believed, "{told}");
+        assert_eq!(backend.cold_ms, expected_ms, "{published_ms}");
     }
 }
 
 #[test]
-fn a_lapse_is_told_for_as_long_as_it_may_end() {
+fn the_remaining_grace_period_counts_lapses_that_may_end() {
     let mut directory = directory(2);
     assert_eq!(directory.lapse_grace_left_ms(), 0);
     vanish(&mut directory, 1, 9, 1_000);
@@ -124,15 +125,11 @@
         3_000,
     );
     vanish(&mut directory, 2, 12, 3_100);
-    assert_eq!(
-        directory.lapse_grace_left_ms(),
-        0,
-        "it had announced to leave"
-    );
+    assert_eq!(directory.lapse_grace_left_ms(), 0, "it was draining");
 }
 
 #[test]
-fn nothing_lapses_while_values_are_old() {
+fn grace_periods_pause_while_values_are_stale() {
     let mut directory = directory(2);
     vanish(&mut directory, 1, 9, 1_000);
     directory.expire(1_200, 9_000);
@@ -142,20 +139,27 @@
 }
 
 #[test]
-fn a_backend_server_that_says_itself_that_it_runs_is_asked_for_flows() {
+fn an_unlisted_backend_server_may_hold_flows_until_its_announcements_end() {
     let mut directory = directory(2);
     directory.record_unlisted(host(3), 1_000);
     assert!(directory.may_hold_flows(host(3)));
-    assert_eq!(takers(&directory), [host(1), host(2)], "it takes no flow");
+    assert_eq!(
+        takers(&directory),
+        [host(1), host(2)],
+        "an unlisted backend server takes no new flows"
+    );
     directory.expire(3_400, 3_400);
     assert!(directory.may_hold_flows(host(3)));
     directory.expire(3_500, 3_500);
-    assert!(!directory.may_hold_flows(host(3)), "it is quiet");
+    assert!(
+        !directory.may_hold_flows(host(3)),
+        "no announcement for a grace period"
+    );
     assert_eq!(directory.current_hosts(), [host(1), host(2)]);
 }
 
 #[test]
-fn one_whose_address_a_newer_one_has_taken_does_not_come_back() {
+fn an_entry_whose_address_was_reused_has_no_grace_period() {
     let mut directory = directory(2);
     let text = state_text(1, BackendState::Ready);
     let backend = Backend::parse(&text).expect("sound text");
@@ -167,6 +171,6 @@
     assert_eq!(
         directory.lapse_grace_left_ms(),
         2_600,
-        "nobody took its address"
+        "its address was not reused"
     );
 }
--- a/tests/opaque/evacuation.rs
+++ b/tests/opaque/evacuation.rs
@@ -1,4 +1,4 @@
-//! What balancers and agents do while operators evacuate availability zones.
+//! Balancers and agents while availability zones are evacuated.
 
 use std::net::Ipv4Addr;
 
@@ -14,10 +14,11 @@
     vanish,
 };
 
-/// The other availability zone of the sites of these tests.
+/// The second availability zone of the sites in these tests.
 const OTHER_ZONE: &str = "zone-b";
 
-/// Returns a directory whose backend servers with odd indices stand in [`ZONE`], the others in [`OTHER_ZONE`].
+/// Returns a directory whose backend servers with odd indices are in [`ZONE`], the others in
+/// [`OTHER_ZONE`].
 fn two_zones(count: u16) -> Directory {
     let mut directory = directory(count);
     for index in (2..=count).step_by(2) {
@@ -27,7 +28,7 @@
     directory
 }
 
-/// Sends a packet through a new balancer.
+/// Returns what a new balancer does with a packet.
 fn send(directory: &Directory, packet: Vec<u8>) -> Result<Action, Code> {
     let mut suspicion = Suspicion::default();
     let sent = forwarder().handle(directory, &mut suspicion, packet, 1_000);
@@ -35,7 +36,7 @@
 }
 
 #[test]
-fn an_evacuated_zone_takes_no_new_flow_until_it_is_taken_back() {
+fn an_evacuated_zone_gets_no_new_flows_until_it_is_taken_back() {
     let mut directory = two_zones(4);
     directory.set_zone_evacuated(OTHER_ZONE, true, 200);
     assert_eq!(takers(&directory), [host(1), host(3)]);
@@ -50,7 +51,7 @@
 }
 
 #[test]
-fn an_unknown_zone_and_a_repeat_change_nothing() {
+fn an_evacuation_of_an_unknown_zone_changes_nothing() {
     let mut directory = two_zones(4);
     directory.set_zone_evacuated("elsewhere", true, 200);
     directory.set_zone_evacuated("elsewhere", true, 201);
@@ -59,7 +60,7 @@
 }
 
 #[test]
-fn servers_that_come_into_an_evacuated_zone_take_nothing_either() {
+fn servers_that_join_an_evacuated_zone_get_no_new_flows() {
     let mut directory = two_zones(2);
     directory.set_zone_evacuated(ZONE, true, 200);
     publish(
@@ -69,7 +70,7 @@
         201,
         10,
     );
-    // One that lapses and returns is in its zone as before.
+    // An entry that lapses and comes back is still in its zone.
     vanish(&mut directory, 1, 202, 20);
     directory.expire(1_000, 1_000);
     assert_eq!(takers(&directory), [host(2)]);
@@ -84,7 +85,7 @@
 }
 
 #[test]
-fn an_agent_of_an_evacuated_zone_passes_openers_on_and_keeps_its_flows() {
+fn an_agent_in_an_evacuated_zone_hands_openers_on_and_keeps_its_flows() {
     let mut agent = AgentUnderTest::new(4, true);
     agent.directory = two_zones(4);
     agent.open(&flow(1), 500);
@@ -94,16 +95,17 @@
     let next = hosts_told(&actions, MessageKind::HandOn);
     assert!(next == [host(2)] || next == [host(4)], "{next:?}");
     assert!(reaches_backend(&agent.deliver(&request(&flow(1), 501))));
-    // The caller's late copy of the opener of a flow that is open reaches its own backend server alone.
+    // A late copy of the opener of an open flow still goes to the flow's backend server.
     assert!(reaches_backend(&agent.deliver(&opener(&flow(1), 1))));
 }
 
 #[test]
-fn an_evacuation_says_nothing_of_a_backend_server_s_process() {
+fn an_evacuated_backend_server_that_refuses_connections_has_ended() {
     let mut agent = AgentUnderTest::new(4, true);
     agent.open(&flow(1), 500);
     agent.directory.set_zone_evacuated(ZONE, true, 200);
-    // A drain would explain the silence; an evacuated server listens on, so that refusals prove its end.
+    // A draining server may stop listening. An evacuated one keeps listening, so refusals prove
+    // that it has ended.
     agent.now_ms += 10_000;
     agent.refuse();
     agent.now_ms += 200;
@@ -111,24 +113,24 @@
 }
 
 #[test]
-fn callers_are_refused_at_once_where_only_evacuated_zones_could_take_them() {
+fn openers_are_reset_at_once_if_all_servers_are_in_evacuated_zones() {
     let mut directory = two_zones(4);
     directory.set_zone_evacuated(ZONE, true, 200);
     directory.set_zone_evacuated(OTHER_ZONE, true, 201);
     let action = send(&directory, opener(&flow(1), 0)).expect("an answer");
     assert_eq!(resets(&[action]), [flow(1)]);
-    // A copy comes from a caller whose first one may have been taken: a reset could end an open flow.
+    // The first opener may have been taken, so a reset in answer to a copy could end an open flow.
     let copy = send(&directory, opener(&flow(1), 1));
     assert_eq!(copy, Err(Code::HostUnknown));
 }
 
 #[test]
-fn callers_wait_where_servers_are_missing_for_another_reason() {
+fn openers_are_not_reset_if_servers_are_missing_for_another_reason() {
     let mut directory = two_zones(2);
     directory.set_zone_evacuated(ZONE, true, 200);
     let draining = state_text_in(OTHER_ZONE, 2, BackendState::Draining);
     publish(&mut directory, 2, &draining, 201, 10);
-    // The only one that could take it stands in the evacuated zone.
+    // The only server that would take the flow is in the evacuated zone.
     assert!(matches!(
         send(&directory, opener(&flow(1), 0)),
         Ok(Action::ToCaller(..))
@@ -140,7 +142,7 @@
         202,
         10,
     );
-    // None would take it, evacuated or not: its successor may be about to start.
+    // No server would take the flow even without the evacuation; a successor may be about to start.
     assert_eq!(
         send(&directory, opener(&flow(1), 0)).err(),
         Some(Code::HostUnknown)
@@ -148,7 +150,7 @@
 }
 
 #[test]
-fn packets_of_open_flows_find_their_way_while_every_zone_is_evacuated() {
+fn packets_of_open_flows_are_spread_over_all_agents_while_every_zone_is_evacuated() {
     let mut directory = two_zones(6);
     directory.set_zone_evacuated(ZONE, true, 200);
     directory.set_zone_evacuated(OTHER_ZONE, true, 201);
@@ -157,12 +159,12 @@
         .collect();
     reached.sort_unstable();
     reached.dedup();
-    assert_eq!(reached.len(), 6, "the questions are spread over all agents");
+    assert_eq!(reached.len(), 6, "packets are spread over all agents");
 }
 
 #[test]
-fn a_flow_at_an_evacuated_server_is_asked_for_where_it_was_placed() {
-    // Above the number of agents that are all asked at once.
+fn lookups_ask_the_server_that_a_flow_was_placed_at_before_its_evacuation() {
+    // More agents than a lookup asks at once.
     let count = 60;
     let mut asked_first = 0;
     for port in 1..=40 {
@@ -191,7 +193,7 @@
     assert_eq!(asked_first, 40);
 }
 
-/// Returns one state of an evacuation as a read tells it.
+/// Returns one state of an evacuation as a read returns it.
 fn evacuation(revision: u64, is_evacuated: bool) -> PublishedValue {
     PublishedValue {
         name: evacuation_name(ZONE),
@@ -220,7 +222,7 @@
     }
     let value = store.get(&evacuation_name(ZONE)).expect("in force");
     assert_eq!((value.revision, value.text.as_str()), (7.into(), "yes"));
-    // What comes late from a peer that lags does not take the zone back.
+    // A late removal from a peer that lags does not end the evacuation.
     store
         .accept(&evacuation_name(ZONE), 6, "gone")
         .expect("sound");
--- a/tests/opaque/freshness.rs
+++ b/tests/opaque/freshness.rs
@@ -1,11 +1,11 @@
-//! Who reads the platform, and when others step in.
+//! Which processes read the platform, and when further ones start to read.
 
 use std::net::Ipv4Addr;
 
 use endivedyke::HostList;
 use endivedyke::opaque::{Freshness, ProcessLocation, READER_COUNT, RelayPosition};
 
-/// The availability zones of the hosts, by turns.
+/// The availability zones, assigned to hosts in rotation.
 const ZONES: [&str; 3] = ["zone-a", "zone-b", "zone-c"];
 
 fn zone(host: Ipv4Addr) -> &'static str {
@@ -20,14 +20,14 @@
     HostList::parse(&text).expect("sound list")
 }
 
-/// Returns where a host stands among those that `trusted` lets pass.
+/// Returns the relay position of a host among the hosts for which `is_trusted` returns true.
 fn relay_position(
     hosts: &HostList,
     host: Ipv4Addr,
-    trusted: impl Fn(Ipv4Addr) -> bool,
+    is_trusted: impl Fn(Ipv4Addr) -> bool,
 ) -> RelayPosition {
     let zone = zone(host);
-    endivedyke::opaque::relay_position(hosts, ProcessLocation { host, zone }, trusted)
+    endivedyke::opaque::relay_position(hosts, ProcessLocation { host, zone }, is_trusted)
 }
 
 fn all(count: u32) -> impl Iterator<Item = Ipv4Addr> {
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_few_read_and_each_other_asks_one_before_it() {
+fn two_processes_read_and_each_other_has_a_parent() {
     for count in [1, 2, 10, 66, 3_000] {
         let hosts = hosts(count);
         let positions: Vec<_> = all(count)
@@ -48,35 +48,35 @@
         let orphans = positions
             .iter()
             .filter(|position| position.parent.is_none());
-        assert_eq!(orphans.count(), 1, "{count}: only the first asks nobody");
+        assert_eq!(orphans.count(), 1, "{count}: only the first has no parent");
     }
 }
 
 #[test]
-fn nobody_is_asked_by_many_and_ways_are_short() {
+fn no_process_has_many_children_and_the_relay_tree_is_shallow() {
     let count = 3_000;
     let hosts = hosts(count);
     let parent = |host| relay_position(&hosts, host, |_| true).parent;
-    let mut askers: Vec<Ipv4Addr> = all(count).filter_map(parent).collect();
-    askers.sort_unstable();
-    let busiest = askers.chunk_by(|a, b| a == b).map(<[_]>::len).max();
+    let mut parents: Vec<Ipv4Addr> = all(count).filter_map(parent).collect();
+    parents.sort_unstable();
+    let busiest = parents.chunk_by(|a, b| a == b).map(<[_]>::len).max();
     assert!(busiest <= Some(18), "{busiest:?}");
     for host in all(count) {
         let steps = std::iter::successors(Some(host), |host| parent(*host)).count();
-        assert!(steps <= 6, "{host} is {steps} steps away");
+        assert!(steps <= 6, "{host} is {steps} steps from the root");
     }
 }
 
 #[test]
-fn hosts_that_are_not_listed_ask_many_different_ones() {
+fn unlisted_processes_spread_over_many_parents() {
     for (agents, balancers) in [(45, 20), (136, 59), (1_000, 400)] {
         let hosts = hosts(agents);
         let unlisted = (1..=balancers).map(|index| Ipv4Addr::from(0x0a09_0000 + index));
-        let askers = all(agents).chain(unlisted);
+        let processes = all(agents).chain(unlisted);
         let parent = |host| relay_position(&hosts, host, |_| true).parent;
-        let mut asked: Vec<Ipv4Addr> = askers.filter_map(parent).collect();
-        asked.sort_unstable();
-        let busiest = asked.chunk_by(|a, b| a == b).map(<[_]>::len).max();
+        let mut parents: Vec<Ipv4Addr> = processes.filter_map(parent).collect();
+        parents.sort_unstable();
+        let busiest = parents.chunk_by(|a, b| a == b).map(<[_]>::len).max();
         assert!(
             busiest <= Some(18),
             "{busiest:?} with {balancers} balancers"
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn hosts_that_are_not_listed_ask_in_their_availability_zone() {
+fn an_unlisted_process_prefers_a_parent_in_its_availability_zone() {
     let hosts = hosts(45);
     for index in 1..=20 {
         let host = Ipv4Addr::from(0x0a09_0000 + index);
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn dead_readers_are_passed_over() {
+fn an_untrusted_reader_is_nobody_s_parent() {
     let hosts = hosts(10);
     let first = all(10).find(|host| relay_position(&hosts, *host, |_| true).rank == 0);
     let first = first.expect("a reader");
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn an_unlisted_process_asks_and_does_not_read_at_once() {
+fn an_unlisted_process_is_not_a_reader_by_rank() {
     let me = Ipv4Addr::new(10, 9, 0, 1);
     for count in [0, 10] {
         let position = relay_position(&hosts(count), me, |_| true);
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn patience_ends_in_turn_and_sooner_when_the_readers_are_turned_away() {
+fn processes_start_to_read_by_rank_and_earlier_while_the_parent_fails() {
     let mut freshness = Freshness::default();
     freshness.confirm(10_000);
     assert!(!freshness.should_read(at(2), 11_500));
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn one_that_knows_nobody_to_ask_reads_within_a_moment() {
+fn a_process_without_a_parent_reads_within_400_ms() {
     let me = Ipv4Addr::new(10, 9, 0, 1);
     let alone = relay_position(&hosts(0), me, |_| true);
     assert!(Freshness::default().should_read(alone, 400));
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn one_that_can_not_read_says_so_once_its_values_are_old() {
+fn a_process_whose_reads_fail_reports_no_age_once_its_values_are_stale() {
     let mut freshness = Freshness::default();
     freshness.confirm(10_000);
     freshness.set_failing(true);
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn a_platform_that_answers_nobody_is_asked_by_few() {
+fn few_processes_read_a_platform_that_answers_none() {
     let mut freshness = Freshness::default();
     freshness.confirm(10_000);
     freshness.set_parent_failing(true);
@@ -167,14 +167,17 @@
         let asking = (0..75).filter(|rank| freshness.should_read(at(*rank), now_ms));
         asking.count()
     };
-    assert!(readers(11_600) >= 10, "one of them is served if any is");
+    assert!(
+        readers(11_600) >= 10,
+        "one of them is served if any process is"
+    );
     assert!(readers(14_400) <= 15, "{}", readers(14_400));
     assert!((27..=30).contains(&readers(22_000)), "{}", readers(22_000));
-    assert_eq!(readers(52_000), 75, "in the end each tries for itself");
+    assert_eq!(readers(52_000), 75, "in the end each process reads");
 }
 
 #[test]
-fn how_many_ask_a_platform_that_answers_nobody_follows_the_outage_and_not_the_size() {
+fn the_number_of_readers_during_an_outage_depends_on_its_length_and_not_on_the_site_size() {
     let mut freshness = Freshness::default();
     freshness.confirm(10_000);
     freshness.set_parent_failing(true);
--- a/tests/opaque/greetings.rs
+++ b/tests/opaque/greetings.rs
@@ -1,4 +1,5 @@
-//! Whom an agent greets, so that a balancer which starts without the platform finds a configuration.
+//! Which balancers an agent greets, so that one that starts without the platform finds a
+//! configuration.
 
 use std::net::Ipv4Addr;
 
@@ -10,25 +11,25 @@
     Ipv4Addr::new(10, 9, 1, index)
 }
 
-/// Lets every agent hear a packet of a balancer.
+/// Delivers a packet from a balancer to every agent.
 fn deliver_to_all(agents: &mut Agents, from: Ipv4Addr, now_ms: u64) {
     let mut message = Message::new(MessageKind::Deliver);
     message.host = from;
     for index in 1..=agents.count() {
         let packet = opener(&flow(index), 0);
-        let heard = agents.with(host(index), now_ms, |keeper, scene| {
+        let result = agents.with(host(index), now_ms, |keeper, scene| {
             keeper.peer_says(scene, from, &message, &packet)
         });
-        heard.expect("sound packet");
+        result.expect("sound packet");
     }
 }
 
-/// Returns whom each agent greets now, on a site without seeds.
+/// Returns the hosts that each agent greets, on a site without seeds.
 fn greeted(agents: &mut Agents, now_ms: u64) -> Vec<Vec<Ipv4Addr>> {
     greeted_with(agents, &[], now_ms)
 }
 
-/// Returns whom each agent greets now.
+/// Returns the hosts that each agent greets.
 fn greeted_with(agents: &mut Agents, seeds: &[Ipv4Addr], now_ms: u64) -> Vec<Vec<Ipv4Addr>> {
     let hosts = (1..=agents.count()).map(host);
     let actions: Vec<Vec<Action>> = hosts
@@ -41,7 +42,7 @@
 }
 
 #[test]
-fn a_balancer_is_greeted_while_it_is_quiet_and_not_forgotten() {
+fn a_balancer_is_greeted_once_quiet_until_it_expires() {
     for (after_ms, greeters) in [(0, 0), (249, 0), (250, 3), (59_999, 3), (60_000, 0)] {
         let mut agents = Agents::new(5);
         deliver_to_all(&mut agents, BALANCER, 1_000);
@@ -52,7 +53,7 @@
 }
 
 #[test]
-fn three_agents_greet_a_balancer_however_many_there_are() {
+fn at_most_three_agents_greet_each_balancer() {
     for count in [2, 7, 250] {
         let mut agents = Agents::new(count);
         for index in 1..=20 {
@@ -64,7 +65,7 @@
 }
 
 #[test]
-fn of_many_balancers_those_heard_last_are_remembered() {
+fn the_32_balancers_with_the_latest_messages_are_remembered() {
     let mut agents = Agents::new(1);
     for index in 1..=40 {
         deliver_to_all(&mut agents, balancer(index), 1_000 + u64::from(index));
@@ -74,7 +75,7 @@
 }
 
 #[test]
-fn a_seed_is_greeted_by_three_agents_that_never_heard_it_at_any_size() {
+fn three_agents_greet_a_seed_without_messages_from_it_at_any_site_size() {
     let seed = balancer(1);
     for count in [30, 300, 1_000, 6_000] {
         let mut agents = Agents::new(count);
@@ -85,7 +86,7 @@
 }
 
 #[test]
-fn a_seed_that_speaks_is_not_greeted() {
+fn a_seed_that_sends_messages_is_not_greeted() {
     let mut agents = Agents::new(5);
     deliver_to_all(&mut agents, BALANCER, 1_000);
     let greeted = greeted_with(&mut agents, &[BALANCER], 1_100);
--- a/tests/opaque/restarts.rs
+++ b/tests/opaque/restarts.rs
@@ -1,4 +1,5 @@
-//! Requests of flows that are older than their agent, where callers have time for one attempt.
+//! Requests of flows that are older than their agent, for callers that have time for one attempt
+//! only.
 
 use endivedyke::opaque::{FlowKey, Message, MessageKind};
 
@@ -7,17 +8,17 @@
     request, tell_deadline,
 };
 
-/// The number after the last byte of [`request`].
+/// The sequence number after the last byte of [`request`].
 const REQUEST_END: u32 = 141;
 
-/// Returns an agent that has just started beside a backend server which holds flows.
+/// Returns an agent that has just started beside a backend server that holds flows.
 fn restarted_agent() -> AgentUnderTest {
     let mut agent = AgentUnderTest::new(3, false);
     tell_deadline(&mut agent.directory);
     agent
 }
 
-/// Lets the backend server send data, with what it has of the caller's.
+/// Sends data from the backend server, with an acknowledgement of the caller's data.
 fn answer(agent: &mut AgentUnderTest, key: &FlowKey, acknowledgement: u32) {
     let spec = PacketSpec {
         flags: ACK,
@@ -28,23 +29,23 @@
     agent.backend(from_backend(key, spec));
 }
 
-fn asked_reaches_backend(agent: &mut AgentUnderTest, packet: &[u8]) -> bool {
+fn find_reaches_backend(agent: &mut AgentUnderTest, packet: &[u8]) -> bool {
     let actions = agent.hear(host(2), Message::new(MessageKind::Find), packet);
     reaches_backend(&actions)
 }
 
 #[test]
-fn a_copy_of_an_answered_request_is_no_work() {
+fn a_copy_of_an_answered_request_does_not_count_as_busy() {
     let mut agent = restarted_agent();
     let key = flow(1);
-    assert!(asked_reaches_backend(&mut agent, &request(&key, 7)));
+    assert!(find_reaches_backend(&mut agent, &request(&key, 7)));
     answer(&mut agent, &key, REQUEST_END);
-    assert!(asked_reaches_backend(&mut agent, &request(&key, 7)));
+    assert!(find_reaches_backend(&mut agent, &request(&key, 7)));
     assert_eq!(agent.keeper.busy(), 0);
 }
 
 #[test]
-fn a_copy_of_a_request_that_was_answered_before_the_agent_ran_is_no_work() {
+fn a_copy_of_a_request_answered_before_the_agent_started_does_not_count_as_busy() {
     let mut agent = restarted_agent();
     let key = flow(1);
     answer(&mut agent, &key, REQUEST_END);
@@ -53,7 +54,7 @@
 }
 
 #[test]
-fn the_next_request_of_such_a_flow_is_work_until_it_is_answered() {
+fn the_next_request_of_such_a_flow_counts_as_busy_until_it_is_answered() {
     let mut agent = restarted_agent();
     let key = flow(1);
     answer(&mut agent, &key, REQUEST_END);
--- a/tests/opaque/restored_platform.rs
+++ b/tests/opaque/restored_platform.rs
@@ -1,4 +1,5 @@
-//! What processes hold while the platform comes back from older copies and numbers changes anew.
+//! The values that processes hold while the platform is restored from older copies and reuses
+//! revision numbers.
 
 use endivedyke::opaque::{
     BackendState, Batch, PublishedValue, RESTORE_SETTLE_MS, ROUTES_HEADER, ROUTES_NAME,
@@ -10,7 +11,8 @@
 use crate::builder::{started_text, state_text};
 
 const ENTRY: &str = "backend/i-1";
-/// How long the entry of a server that has ended stands in a copy, in milliseconds: three signs of life of 1.2 s.
+/// The time for which the entry of a server that has ended stays in a copy, in milliseconds: three
+/// heartbeats of 1.2 s.
 const LEASE_MS: u64 = 3_600;
 
 fn revision(era: u64, number: u64) -> Revision {
@@ -28,13 +30,13 @@
     ConfigStore::new(&ClusterKey::new([3; 32]))
 }
 
-/// Returns a text of routes that names a version.
+/// Returns a routes text that contains a version.
 fn routes(version: u64) -> String {
     format!("{ROUTES_HEADER}\n192.0.2.1:{version},panel-front,1,2,yes\n")
 }
 
 #[test]
-fn a_later_era_is_after_all_numbers_of_those_before() {
+fn a_revision_of_a_later_era_is_after_all_revisions_of_earlier_eras() {
     assert!(revision(1, 1) > revision(0, 900));
     assert!(revision(2, 3) > revision(2, 2));
     assert_eq!((revision(2, 14).era(), revision(2, 14).number()), (2, 14));
@@ -45,21 +47,21 @@
 }
 
 #[test]
-fn a_state_replaces_another_by_the_writer_s_version_only_across_eras() {
-    // (offered, held, is it after)
+fn states_are_ordered_by_the_writer_s_version_only_across_eras() {
+    // (offered, held, whether offered is after held)
     let cases = [
         (stamp(0, 9, 0), stamp(0, 8, 0), true),
         (stamp(0, 8, 0), stamp(0, 8, 0), false),
-        // In one era the platform's order decides, whatever writers count.
+        // Within an era the platform's order decides, whatever the versions are.
         (stamp(0, 9, 20), stamp(0, 8, 24), true),
-        // Confirmed after the return, with a number that was given out before.
+        // Written after the restore, with a number that was used before.
         (stamp(1, 5, 32), stamp(0, 18, 24), true),
-        // From the older copy.
+        // Read from the older copy.
         (stamp(1, 4, 21), stamp(0, 18, 24), false),
         (stamp(0, 18, 24), stamp(1, 4, 21), true),
-        // Written again.
+        // Rewritten after the restore.
         (stamp(1, 5, 24), stamp(0, 18, 24), true),
-        // Without versions on both sides there is only the platform's order.
+        // Without versions on both sides the platform's order decides.
         (stamp(1, 4, 0), stamp(0, 18, 24), true),
         (stamp(0, 18, 24), stamp(1, 4, 0), false),
     ];
@@ -69,7 +71,7 @@
 }
 
 #[test]
-fn an_entry_of_the_older_copy_does_not_take_back_that_a_server_leaves() {
+fn an_entry_from_the_older_copy_does_not_undo_a_drain() {
     let ready = state_text(1, BackendState::Ready);
     let draining = state_text(1, BackendState::Draining);
     let mut store = store();
@@ -81,12 +83,12 @@
     assert_eq!(
         store.accept(ENTRY, copied, &ready),
         Ok(Acceptance::Accepted),
-        "what still stands there was written again"
+        "an entry that is still there after settling was rewritten"
     );
 }
 
 #[test]
-fn the_first_value_of_an_era_is_judged_like_those_after_it() {
+fn the_first_value_of_an_era_is_already_treated_as_unsettled() {
     let mut store = store();
     let draining = state_text(1, BackendState::Draining);
     store.accept(ENTRY, 7, &draining).expect("sound");
@@ -98,7 +100,7 @@
 }
 
 #[test]
-fn a_server_that_left_before_the_return_stays_gone_and_one_that_lapsed_is_back() {
+fn after_a_restore_a_drained_server_stays_gone_and_a_lapsed_one_comes_back() {
     let ready = state_text(1, BackendState::Ready);
     for (last, accepted) in [
         (BackendState::Draining, Acceptance::Old),
@@ -113,31 +115,31 @@
 }
 
 #[test]
-fn a_lifetime_does_not_come_back_with_the_platform() {
+fn a_restore_does_not_bring_an_earlier_lifetime_back() {
     let mut store = store();
     store
         .accept(ENTRY, 7, &started_text(1, 200))
         .expect("sound");
     store.accept("other", revision(1, 4), "").expect("sound");
-    let before = started_text(1, 100);
+    let earlier = started_text(1, 100);
     assert_eq!(
-        store.accept(ENTRY, revision(1, 5), &before),
+        store.accept(ENTRY, revision(1, 5), &earlier),
         Ok(Acceptance::Old)
     );
-    let after = started_text(1, 300);
+    let later = started_text(1, 300);
     assert_eq!(
-        store.accept(ENTRY, revision(1, 6), &after),
+        store.accept(ENTRY, revision(1, 6), &later),
         Ok(Acceptance::Accepted)
     );
 }
 
 #[test]
-fn a_restoration_settles_once_values_are_new_for_long_enough() {
+fn a_restore_settles_after_values_were_fresh_for_the_settling_time() {
     let mut restoration = RestorationTracker::default();
     const {
         assert!(
             RESTORE_SETTLE_MS > LEASE_MS,
-            "an ended server would get flows again"
+            "a server that has ended would get flows again"
         )
     };
     assert_eq!(restoration.observe_era(0, 100), None);
@@ -145,7 +147,7 @@
         restoration.observe_era(1, 1_000),
         Some(RestorationEvent::Restored)
     );
-    // The clock stands still while the platform is away once more.
+    // The clock stands still while the platform is unreachable again.
     assert_eq!(
         restoration.observe_era(1, 1_000 + RESTORE_SETTLE_MS - 1),
         None
@@ -155,7 +157,7 @@
         Some(RestorationEvent::Settled)
     );
     assert_eq!(restoration.observe_era(1, 9_000), None);
-    // A return while it settles begins anew.
+    // Another restore during the settling time starts it anew.
     restoration.observe_era(2, 10_000);
     assert_eq!(
         restoration.observe_era(3, 11_000),
@@ -164,21 +166,21 @@
     assert_eq!(restoration.observe_era(3, 10_000 + RESTORE_SETTLE_MS), None);
 }
 
-/// A platform that takes configurations, and comes back from copies of itself.
+/// A platform that stores one configuration, and can be restored from a copy of itself.
 #[derive(Debug, Default, Clone)]
 struct PlatformModel {
     era: u64,
     number: u64,
     version: u64,
-    /// The configuration that it shows.
-    shown: Option<PublishedValue>,
+    /// The configuration that reads return.
+    published: Option<PublishedValue>,
     copy: Option<(u64, Option<PublishedValue>)>,
 }
 
 impl PlatformModel {
     fn write(&mut self) {
         self.number += 1;
-        self.shown = Some(PublishedValue {
+        self.published = Some(PublishedValue {
             name: ROUTES_NAME.to_owned(),
             stamp: stamp(self.era, self.number, self.version),
             text: Some(routes(self.version)),
@@ -186,9 +188,9 @@
     }
 
     fn restore(&mut self) {
-        if let Some((number, shown)) = self.copy.clone() {
+        if let Some((number, published)) = self.copy.clone() {
             self.number = number;
-            self.shown = shown.map(|shown| shown.with_era(self.era + 1));
+            self.published = published.map(|value| value.with_era(self.era + 1));
             self.era += 1;
         }
     }
@@ -196,7 +198,7 @@
     fn batch(&self) -> Batch {
         Batch {
             revision: revision(self.era, self.number),
-            values: self.shown.iter().cloned().collect(),
+            values: self.published.iter().cloned().collect(),
             is_whole: true,
         }
     }
@@ -207,13 +209,13 @@
     /// Operators publish the next version.
     Publish,
     Copy,
-    /// The platform comes back from its copy.
+    /// The platform is restored from its copy.
     Restore,
-    /// Operators write the newest version again.
-    WriteAgain,
+    /// Operators rewrite the newest version.
+    Rewrite,
     /// A process reads everything.
     Read(usize),
-    /// A process takes what another one holds.
+    /// A process pulls from another one: the first is the sender.
     Pull(usize, usize),
     Restart(usize),
 }
@@ -224,7 +226,7 @@
         3 => Just(Event::Publish),
         1 => Just(Event::Copy),
         1 => Just(Event::Restore),
-        1 => Just(Event::WriteAgain),
+        1 => Just(Event::Rewrite),
         4 => process.clone().prop_map(Event::Read),
         3 => (process.clone(), process.clone()).prop_map(|(from, to)| Event::Pull(from, to)),
         1 => process.prop_map(Event::Restart),
@@ -255,23 +257,24 @@
     }
 }
 
-/// Returns the version of the routes in force, as the text itself tells it.
+/// Returns the version of the routes in force, after checking that their text contains the same
+/// version.
 fn version(store: &ConfigStore) -> u64 {
     let value = store
         .get(ROUTES_NAME)
         .filter(|value| !value.text.is_empty());
-    let told = value.map_or(0, |value| value.version);
+    let version = value.map_or(0, |value| value.version);
     if let Some(value) = value {
-        assert_eq!(value.text, routes(told), "text and version differ");
+        assert_eq!(value.text, routes(version), "text and version differ");
     }
-    told
+    version
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(400))]
 
     #[test]
-    fn no_process_goes_back_and_all_end_with_what_was_confirmed_last(events in prop::collection::vec(event(), 1..80)) {
+    fn versions_never_decrease_and_all_processes_end_with_the_last_one(events in prop::collection::vec(event(), 1..80)) {
         let mut platform = PlatformModel::default();
         let mut stores: Vec<ConfigStore> = (0..PROCESSES).map(|_| store()).collect();
         for event in events {
@@ -282,10 +285,10 @@
                     platform.version += 1;
                     platform.write();
                 }
-                Event::Copy => platform.copy = Some((platform.number, platform.shown.clone())),
+                Event::Copy => platform.copy = Some((platform.number, platform.published.clone())),
                 Event::Restore => platform.restore(),
-                Event::WriteAgain if platform.version > 0 => platform.write(),
-                Event::WriteAgain => {}
+                Event::Rewrite if platform.version > 0 => platform.write(),
+                Event::Rewrite => {}
                 Event::Read(process) => read(&mut stores[process], &platform.batch()),
                 Event::Pull(from, to) => pull(&mut stores, from, to),
                 Event::Restart(process) => {
@@ -294,11 +297,11 @@
                 }
             }
             for (process, before) in before.iter().enumerate() {
-                let went_back = version(&stores[process]) < *before;
-                prop_assert!(!went_back || restarted == Some(process), "process {process}");
+                let has_decreased = version(&stores[process]) < *before;
+                prop_assert!(!has_decreased || restarted == Some(process), "process {process}");
             }
         }
-        // Operators write what was lost, and one process reads it.
+        // Operators rewrite what was lost, and one process reads it.
         platform.version += 1;
         platform.write();
         read(&mut stores[0], &platform.batch());
--- a/tests/opaque/startup_backoff.rs
+++ b/tests/opaque/startup_backoff.rs
@@ -1,25 +1,26 @@
-//! How often processes without a configuration read a platform that answers nobody.
+//! How often processes without a configuration read a platform that is unreachable.
 
 use endivedyke::opaque::StartupBackoff;
 
 const SEEDS: usize = 3;
-/// How often a process looks whether a read is due, in milliseconds.
-const LOOK_MS: usize = 10;
-/// How often seeds answer, in milliseconds.
-const ANSWER_MS: u64 = 200;
+/// The interval at which a process checks whether a read is due, in milliseconds.
+const CHECK_INTERVAL_MS: usize = 10;
+/// The interval between answers of a seed, in milliseconds.
+const ANSWER_INTERVAL_MS: u64 = 200;
 
-/// Starts this many processes while the platform is silent, and returns how many reads each of them made until then.
-fn reads(count: usize, silent_ms: u64, seeds_answer: bool) -> Vec<(StartupBackoff, u32)> {
+/// Starts `count` processes during an outage of the platform, and returns each with its number of
+/// reads in it.
+fn run_outage(count: usize, outage_ms: u64, do_seeds_answer: bool) -> Vec<(StartupBackoff, u32)> {
     let start = |index| (StartupBackoff::new(index < SEEDS, 0), 0);
     let mut processes: Vec<(StartupBackoff, u32)> = (0..count).map(start).collect();
-    for now_ms in (0..silent_ms).step_by(LOOK_MS) {
-        for (reads, made) in &mut processes {
-            if seeds_answer && now_ms % ANSWER_MS == 0 {
-                reads.record_seed_answer(now_ms);
+    for now_ms in (0..outage_ms).step_by(CHECK_INTERVAL_MS) {
+        for (backoff, reads) in &mut processes {
+            if do_seeds_answer && now_ms % ANSWER_INTERVAL_MS == 0 {
+                backoff.record_seed_answer(now_ms);
             }
-            if reads.is_due(now_ms) {
-                reads.record_failure(now_ms);
-                *made += 1;
+            if backoff.is_due(now_ms) {
+                backoff.record_failure(now_ms);
+                *reads += 1;
             }
         }
     }
@@ -27,37 +28,37 @@
 }
 
 #[test]
-fn after_the_first_read_only_the_seeds_go_on_at_any_size() {
+fn only_seeds_retry_often_at_any_site_size() {
     for count in [30, 300, 1_000, 6_000] {
-        let processes = reads(count, 3_000, true);
-        let repeats: u32 = processes.iter().map(|(_, made)| made - 1).sum();
+        let processes = run_outage(count, 3_000, true);
+        let retries: u32 = processes.iter().map(|(_, reads)| reads - 1).sum();
         assert!(
-            (20..=33).contains(&repeats),
-            "{repeats} of {count} processes"
+            (20..=33).contains(&retries),
+            "{retries} of {count} processes"
         );
     }
 }
 
 #[test]
-fn the_others_try_for_themselves_now_and_then() {
-    let processes = reads(300, 60_000, true);
+fn processes_that_are_no_seeds_still_retry_a_few_times_a_minute() {
+    let processes = run_outage(300, 60_000, true);
     let others = processes.iter().skip(SEEDS);
-    for (_, made) in others {
-        assert!((4..=6).contains(made), "{made} reads in a minute");
+    for (_, reads) in others {
+        assert!((4..=6).contains(reads), "{reads} reads in a minute");
     }
 }
 
 #[test]
-fn all_read_at_once_when_somebody_holds_a_configuration() {
-    for (mut reads, _) in reads(300, 3_000, true) {
-        reads.record_peer_configuration();
-        assert!(reads.is_due(3_200));
+fn a_read_is_due_at_once_when_a_peer_holds_a_configuration() {
+    for (mut backoff, _) in run_outage(300, 3_000, true) {
+        backoff.record_peer_configuration();
+        assert!(backoff.is_due(3_200));
     }
 }
 
 #[test]
-fn without_an_answer_of_a_seed_each_process_goes_on_ever_less_often() {
-    for (_, made) in reads(30, 10_000, false).iter().skip(SEEDS) {
-        assert!((5..=9).contains(made), "{made} reads in ten seconds");
+fn without_answers_of_seeds_each_process_retries_with_backoff() {
+    for (_, reads) in run_outage(30, 10_000, false).iter().skip(SEEDS) {
+        assert!((5..=9).contains(reads), "{reads} reads in ten seconds");
     }
 }
--- a/tests/opaque/unusable_entries.rs
+++ b/tests/opaque/unusable_entries.rs
@@ -1,4 +1,4 @@
-//! Entries that another program wrote: they name no backend server to use, and the others hold.
+//! Entries that another program wrote: they are not used, and do not affect other entries.
 
 use endivedyke::ServiceId;
 use endivedyke::opaque::{Backend, BackendState};
@@ -9,7 +9,7 @@
 };
 
 #[test]
-fn an_overwritten_entry_takes_no_flow_and_is_asked_for_those_it_holds() {
+fn an_overwritten_entry_takes_no_new_flows_and_may_hold_flows() {
     let mut directory = directory(2);
     overwrite(&mut directory, 1, 9, 1_000);
     assert_eq!(takers(&directory), [host(2)]);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn an_entry_that_nobody_mends_is_not_asked_for_longer_than_a_flow_may_live() {
+fn an_entry_that_stays_unusable_may_hold_flows_for_the_longest_flow_lifetime() {
     let mut directory = directory(2);
     overwrite(&mut directory, 1, 9, 1_000);
     overwrite(&mut directory, 1, 10, 30_000);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn an_overwritten_entry_that_vanishes_may_be_back_and_takes_no_flow() {
+fn an_overwritten_entry_that_lapses_may_come_back_and_takes_no_new_flows() {
     let mut directory = directory(2);
     overwrite(&mut directory, 1, 9, 1_000);
     vanish(&mut directory, 1, 10, 1_100);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn an_entry_that_never_was_sound_adds_no_host() {
+fn an_entry_that_was_never_usable_adds_no_host() {
     let mut directory = directory(2);
     overwrite(&mut directory, 7, 9, 1_000);
     assert_eq!(directory.current_hosts(), [host(1), host(2)]);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_service_that_operators_did_not_name_takes_nobody_s_address() {
+fn an_entry_of_an_unknown_service_takes_no_address_and_adds_no_host() {
     let mut directory = directory(2);
     directory.set_services(vec![ServiceId::of(SERVICE)]);
     for (id, text) in [
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_service_that_is_named_later_is_used_then() {
+fn entries_of_a_service_are_used_once_it_is_configured() {
     let mut directory = directory(2);
     directory.set_services(Vec::new());
     assert!(takers(&directory).is_empty());
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn an_agent_whose_entry_was_overwritten_keeps_its_flows_and_makes_itself_known() {
+fn an_agent_whose_entry_was_overwritten_keeps_its_flows_and_is_unlisted() {
     let mut agent = AgentUnderTest::new(2, true);
     agent.keeper.backend_listens(agent.now_ms);
     agent.open(&flow(1), 500);
