--- a/src/opaque/processes/agent.rs
+++ b/src/opaque/processes/agent.rs
@@ -78,8 +78,9 @@
     });
     agent.clone().receive(from_backend);
     agent.clone().watch_backend(reconnect_requests);
-    // The greeting lets balancers send it packets of open flows before a configuration is in force.
-    node.start(&[MessageKind::Beat, MessageKind::Greeting])
+    // The greeting lets balancers send packets of open flows to this agent before a configuration
+    // is in force.
+    node.wait_for_configuration(&[MessageKind::Beat, MessageKind::Greeting])
         .await;
     agent.start_timers();
     readiness::set_ready(&control, &ready);
@@ -215,14 +216,14 @@
     }
 
     fn handle_message(self: &Rc<Self>, from: Ipv4Addr, message: &Message, payload: &[u8]) {
-        if self.node.handle_common(from, message) || message.kind == MessageKind::Holds {
+        if self.node.handle_common_message(from, message) || message.kind == MessageKind::Holds {
             return;
         }
         self.node.control.metrics.packets_in.inc();
         self.decide(|keeper, scene| keeper.peer_says(scene, from, message, payload));
     }
 
-    /// Lets the keeper decide and performs the actions that it returns.
+    /// Runs a decision of the keeper and performs the actions that it returns.
     fn decide(
         self: &Rc<Self>,
         decision: impl FnOnce(&mut Keeper, &Scene<'_>) -> Result<Vec<Action>>,
--- a/src/opaque/processes/balancer.rs
+++ b/src/opaque/processes/balancer.rs
@@ -65,7 +65,7 @@
     control.on_change(move |_| observer.offer_early());
     let receiver = balancer.clone();
     compio::runtime::spawn(async move { receiver.receive(&callers).await }).detach();
-    node.start(&[MessageKind::Beat]).await;
+    node.wait_for_configuration(&[MessageKind::Beat]).await;
     node.start_sync();
     let expiring = balancer.clone();
     control.timers.every(EXPIRY_INTERVAL_MS, move || {
@@ -164,7 +164,7 @@
             .borrow_mut()
             .heard(from, load_permille, now_ms);
         self.record_agents(from, message, payload);
-        if self.node.handle_common(from, message) {
+        if self.node.handle_common_message(from, message) {
             return;
         }
         let Some(flow) = named_flow(payload) else {
--- a/src/opaque/processes/node.rs
+++ b/src/opaque/processes/node.rs
@@ -68,13 +68,13 @@
 
     /// Returns once a configuration is in force; until then, sends messages of these kinds to the
     /// seeds to ask for one.
-    pub(crate) async fn start(self: &Rc<Self>, kinds: &[MessageKind]) {
+    pub(crate) async fn wait_for_configuration(self: &Rc<Self>, kinds: &[MessageKind]) {
         let ask_seed = |host| {
             for kind in kinds {
                 self.send(host, Message::new(*kind), Vec::new());
             }
         };
-        self.value_sync.start(ask_seed).await;
+        self.value_sync.wait_for_configuration(ask_seed).await;
     }
 
     /// Starts beats, reads of the platform and the removal of expired state; call it once a
@@ -153,7 +153,11 @@
 
     /// Handles the message kinds that both roles handle alike; returns whether this was one of
     /// them.
-    pub(crate) fn handle_common(self: &Rc<Self>, from: Ipv4Addr, message: &Message) -> bool {
+    pub(crate) fn handle_common_message(
+        self: &Rc<Self>,
+        from: Ipv4Addr,
+        message: &Message,
+    ) -> bool {
         match message.kind {
             MessageKind::Beat => {
                 self.add_subscriber(from);
@@ -211,8 +215,8 @@
     /// Sends a message to the process on another host.
     pub(crate) fn send(&self, host: Ipv4Addr, mut message: Message, mut payload: Vec<u8>) {
         self.value_sync.fill_in_state(&mut message);
-        // A process that starts now does not know which entries lapsed just before; this tells it
-        // how long to wait.
+        // A process that starts now does not know which entries lapsed just before; the remaining
+        // grace period lets it wait for their return.
         let lapse_grace_left_ms = self.directory.borrow().lapse_grace_left_ms();
         message.unsettled_ms = message.unsettled_ms.max(lapse_grace_left_ms as u16);
         if message.load_permille == UNKNOWN_LOAD {
--- a/src/opaque/values/directory.rs
+++ b/src/opaque/values/directory.rs
@@ -27,11 +27,12 @@
     entries: PublishedEntries,
     operator_values: OperatorValues,
     tables: BackendTables,
+    /// The hosts on which a backend server may hold flows, sorted.
     current_hosts: Vec<Ipv4Addr>,
     /// Hosts whose agents reported a running backend server that is not published, and the time of
     /// the last report; sorted by host.
     unlisted: Vec<(Ipv4Addr, u64)>,
-    /// The clock that lapse grace periods are measured by; it stands still while values are stale.
+    /// The clock for the grace periods of lapsed entries, which pauses while values are stale.
     lapse_clock_ms: u64,
     /// The end of the last grace period of an entry that lapsed without draining, by the lapse
     /// clock.
@@ -249,8 +250,8 @@
 
     /// Ends the grace periods of lapsed entries, and removes entries that have been gone for long.
     ///
-    /// `lapse_clock_ms` is the current time while values are fresh and stands still while they are
-    /// stale, since the return of a lapsed entry would go unnoticed then.
+    /// `lapse_clock_ms` is the current time while values are fresh and pauses while they are stale,
+    /// since the return of a lapsed entry would go unnoticed then.
     pub fn expire(&mut self, lapse_clock_ms: u64, now_ms: u64) {
         self.lapse_clock_ms = self.lapse_clock_ms.max(lapse_clock_ms);
         if !self.entries.has_expiring() && self.unlisted.is_empty() {
--- a/src/opaque/values/freshness.rs
+++ b/src/opaque/values/freshness.rs
@@ -116,9 +116,10 @@
 /// When the values of a process were last known to be the newest, and whether reads fail.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Freshness {
+    /// The time at which the values were last known to be the newest.
     confirmed_ms: u64,
-    failing: bool,
-    parent_failing: bool,
+    is_failing: bool,
+    is_parent_failing: bool,
 }
 
 impl Freshness {
@@ -133,19 +134,19 @@
     }
 
     /// Sets whether reads of the platform by this process fail.
-    pub fn set_failing(&mut self, failing: bool) {
-        self.failing = failing;
+    pub fn set_failing(&mut self, is_failing: bool) {
+        self.is_failing = is_failing;
     }
 
     /// Sets whether the parent reports that its reads of the platform fail.
-    pub fn set_parent_failing(&mut self, failing: bool) {
-        self.parent_failing = failing;
+    pub fn set_parent_failing(&mut self, is_failing: bool) {
+        self.is_parent_failing = is_failing;
     }
 
     /// Returns the age to report to peers, or `None` once values are stale because reads fail.
     pub fn reported_age_ms(&self, now_ms: u64) -> Option<u64> {
         let age_ms = self.age_ms(now_ms);
-        (!self.failing || age_ms < STALE_AGE_MS).then_some(age_ms)
+        (!self.is_failing || age_ms < STALE_AGE_MS).then_some(age_ms)
     }
 
     /// Returns whether this process should read the platform now.
@@ -158,7 +159,7 @@
         if position.parent.is_none() {
             return age_ms > steps * NO_PARENT_STEP_MS;
         }
-        let stale_age_ms = if self.parent_failing {
+        let stale_age_ms = if self.is_parent_failing {
             PARENT_FAILING_AGE_MS
         } else {
             STALE_AGE_MS
--- a/src/opaque/values/value_sync.rs
+++ b/src/opaque/values/value_sync.rs
@@ -79,7 +79,7 @@
     /// Reads the platform and asks the seeds concurrently, with retries: when a whole site starts,
     /// most peers do not run yet and the platform may be unreachable. `ask_seed` sends a question
     /// to a seed.
-    pub(crate) async fn start(self: &Rc<Self>, ask_seed: impl Fn(Ipv4Addr)) {
+    pub(crate) async fn wait_for_configuration(self: &Rc<Self>, ask_seed: impl Fn(Ipv4Addr)) {
         let value_sync = self.clone();
         let read_task = compio::runtime::spawn(async move { value_sync.read_at_start().await });
         let mut waited_ms = 0;
@@ -190,7 +190,8 @@
         }
     }
 
-    /// Reads changes, or everything if no revision has been read yet; returns whether it succeeded.
+    /// Reads the changes after `seen_revision`, or everything if it is zero; returns whether the
+    /// caller may read on without a backoff.
     async fn read_once(&self, now_ms: u64) -> bool {
         let after = self.seen_revision.get();
         let is_stale = self.freshness.borrow().age_ms(now_ms) > WATCH_WAIT_MS;
--- a/tests/opaque/freshness.rs
+++ b/tests/opaque/freshness.rs
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn an_untrusted_reader_is_nobody_s_parent() {
+fn an_untrusted_reader_is_never_a_parent() {
     let hosts = hosts(10);
     let first = all(10).find(|host| relay_position(&hosts, *host, |_| true).rank == 0);
     let first = first.expect("a reader");
--- a/tests/opaque/restored_platform.rs
+++ b/tests/opaque/restored_platform.rs
@@ -147,7 +147,7 @@
         restoration.observe_era(1, 1_000),
         Some(RestorationEvent::Restored)
     );
-    // The clock stands still while the platform is unreachable again.
+    // The clock pauses while the platform is unreachable again.
     assert_eq!(
         restoration.observe_era(1, 1_000 + RESTORE_SETTLE_MS - 1),
         None
