--- a/src/opaque/flows/flow_search.rs
+++ b/src/opaque/flows/flow_search.rs
@@ -15,7 +15,7 @@
 /// The number of agents to which the first copy of a packet is shown. They come first in the placement
 /// order of the flow, so that this copy finds most flows at any number of agents.
 const FIRST_COPY_AGENTS: usize = 16;
-/// The most agents to which one copy is shown. Each copy is shown to twice as many as the one before it.
+/// The most agents to which one copy is shown. Each copy is shown to twice as many as the one before.
 const MAX_COPY_AGENTS: usize = 256;
 /// The most agents that are kept: 24 bytes each, 1.5 MB in all.
 const MAX_AGENTS: usize = 65_536;
--- a/src/opaque/flows/lookup.rs
+++ b/src/opaque/flows/lookup.rs
@@ -101,7 +101,8 @@
         }
     }
 
-    /// Starts a lookup, or updates the pending one with the newer packet. Returns the agents to query now.
+    /// Starts a lookup and returns the agents to query now, or updates a pending lookup with the newer
+    /// packet.
     ///
     /// On large sites only `likely_holders` are queried at first, and the others if none of these
     /// holds the flow.
@@ -209,7 +210,9 @@
         LookupOutcome::Pending
     }
 
-    /// Returns the agents to query now, each with the packet to send, and gives up lookups that are too old.
+    /// Returns the agents to query now, each with the packet to send.
+    ///
+    /// Gives up lookups that are too old.
     pub fn due_queries(&mut self, directory: &Directory, now_ms: u64) -> Vec<(Ipv4Addr, Vec<u8>)> {
         let Some(own_host) = self.own_host else {
             return Vec::new();
--- a/src/opaque/forwarder.rs
+++ b/src/opaque/forwarder.rs
@@ -1,7 +1,7 @@
 //! Chooses the agent to which a balancer forwards a caller's packet.
 //!
-//! A balancer only keeps hints about who holds a flow. A wrong hint costs a hop; a missing one costs a
-//! hop or a lookup among the agents, which find the holder without hints. See docs/OPAQUE.md, "Finding
+//! A balancer keeps only hints about the holder of a flow. A wrong hint costs a hop; a missing one costs
+//! a hop or a lookup among the agents, which find the holder without hints. See docs/OPAQUE.md, "Finding
 //! a flow".
 
 mod offers;
--- a/src/opaque/forwarder/sent_openers.rs
+++ b/src/opaque/forwarder/sent_openers.rs
@@ -172,6 +172,7 @@
         self.unanswered_in_a_row[index].1
     }
 
+    /// Awaits the answer to an opener, unless its holder is already known or the queue is full.
     pub(super) fn track(&mut self, sent: SentOpener) {
         let is_known = self.hints.get(&sent.flow).is_some() && !sent.is_offer();
         if self.sent_openers.len() < MAX_SENT_OPENERS && !is_known {
--- a/src/opaque/openers/opener_order.rs
+++ b/src/opaque/openers/opener_order.rs
@@ -6,7 +6,8 @@
 use crate::opaque::keeper::Scene;
 use crate::opaque::packets::segment::FlowKey;
 
-/// Returns the agent after `own` in the order of a flow, or `None` after `max_hops` agents or after all.
+/// Returns the agent after `own` in the order of a flow, or `None` if the opener has passed `max_hops`
+/// agents or all of them.
 ///
 /// All agents with the same table follow the same circular order, so that the opener needs no list of
 /// the agents that have passed it on.
--- a/src/opaque/packets/message.rs
+++ b/src/opaque/packets/message.rs
@@ -112,7 +112,8 @@
 /// The unit of [`Message::waited_ms`] in the trailer, in milliseconds: half of the first step between
 /// the opener ages that an agent distinguishes.
 const WAITED_UNIT_MS: u16 = 100;
-/// The number of low bits of the kind byte that hold the kind. The high bits hold [`Message::waited_ms`].
+/// The number of low bits of the kind byte that hold the kind. The high bits hold
+/// [`Message::waited_ms`].
 ///
 /// A process of a version without this field ignores messages that have it, and the caller sends its
 /// opener again.
--- a/tests/opaque/crest.rs
+++ b/tests/opaque/crest.rs
@@ -4,7 +4,8 @@
 use crate::queue_model::Model;
 use crate::queue_plan::{Outcome, Plan, Policy};
 
-/// Returns a plan with a load peak of six seconds, of small servers and of flows with a few requests each.
+/// Returns a plan of small servers with a load peak of six seconds, whose flows have a few requests
+/// each.
 fn peak_plan(load: f64, tells_deadline: bool) -> Plan {
     const NORMAL_LOAD: f64 = 0.6;
     Plan {
