--- a/tests/opaque/reused_addresses.rs
+++ b/tests/opaque/reused_addresses.rs
@@ -1,9 +1,10 @@
-//! Who stands at an address once the platform came back from an older copy, in which the server before may stand there.
+//! The backend server at an address after the platform was restored from an older copy, which may
+//! show a previous server there.
 //!
-//! Entries are told apart by the revision at which a lifetime was published first, the highest of which has the address. An
-//! entry of the copy that a process did not know has a revision of the new era, however old it is. An agent took such
-//! an entry for that of its backend server, for as long as gone entries are remembered: a minute without new flows, and
-//! the flows of before a break of its connection reset while the server held them.
+//! Of the entries at one address, the one with the highest first revision counts. After a restore,
+//! an old entry that a process did not know gets a revision of the new era. An agent took such an
+//! entry for that of its backend server for as long as gone entries are remembered. For a minute it
+//! took no new flows, and it reset flows from before a disconnect that the server still held.
 
 use endivedyke::Revision;
 use endivedyke::opaque::{Backend, BackendState, Directory};
@@ -13,14 +14,15 @@
     state_text,
 };
 
-/// The entry that the copy shows at the address of the server on host 1, though that server has taken it since.
+/// The id of the entry that the older copy shows at the address of the server on host 1, which has
+/// taken the address since.
 const OLD_ID: &str = "i-before";
 
 fn restored(number: u64) -> Revision {
     Revision::new(1, number).expect("small")
 }
 
-/// Publishes what the copy shows of the server before.
+/// Publishes the older copy's entry of the previous server.
 fn publish_old(directory: &mut Directory, text: &str, number: u64, now_ms: u64) {
     let backend = Backend::parse(text).expect("sound");
     directory.apply(OLD_ID, backend, restored(number), now_ms);
@@ -33,7 +35,7 @@
     publish_old(&mut directory, &started_text(1, 100), 5, 1_000);
     let own = directory.own(backend_address(1)).expect("published");
     assert_eq!(own.first_revision, 40.into());
-    // And one that starts after the return takes it.
+    // A server that starts after the restore gets the address.
     let next = Backend::parse(&started_text(1, 300)).expect("sound");
     directory.apply("i-next", next, restored(9), 2_000);
     let own = directory.own(backend_address(1)).expect("published");
@@ -41,7 +43,7 @@
 }
 
 #[test]
-fn where_starts_are_not_told_the_old_entry_has_the_address_no_longer_than_it_stands() {
+fn without_start_times_the_old_entry_has_the_address_only_until_it_expires() {
     let mut directory = Directory::default();
     publish(
         &mut directory,
@@ -56,7 +58,7 @@
         5,
         1_000,
     );
-    // Its lease runs out, as nobody writes it.
+    // Its lease expires, as no process renews it.
     directory.apply(OLD_ID, None, restored(9), 4_000);
     directory.expire(4_100, 4_100);
     let own = directory.own(backend_address(1)).expect("published");
@@ -64,7 +66,7 @@
 }
 
 #[test]
-fn an_entry_of_the_copy_proves_no_end() {
+fn an_entry_of_the_older_copy_does_not_prove_that_the_server_ended() {
     for old in [started_text(1, 100), state_text(1, BackendState::Ready)] {
         let mut agent = AgentUnderTest::new(3, true);
         agent.handle_published_change();
--- a/tests/opaque/stalls.rs
+++ b/tests/opaque/stalls.rs
@@ -1,4 +1,4 @@
-//! What an agent does while its backend server takes requests and serves none.
+//! Stalls: the backend server takes requests and serves none.
 
 use endivedyke::opaque::{Action, FlowKey, Message, MessageKind, deadlines};
 use endivedyke::{LOOK_MS, STALL_PROBE_MS, STALL_RAMP_MS};
@@ -17,12 +17,12 @@
 /// Ports of callers whose requests hang.
 const HUNG: std::ops::Range<u16> = 200..204;
 
-/// A caller's end of an open flow.
+/// The caller's side of an open flow.
 struct Caller {
     key: FlowKey,
-    /// The number of its next byte.
+    /// The sequence number of its next byte.
     next: u32,
-    /// The number of the backend server's next byte.
+    /// The sequence number of the backend server's next byte.
     expects: u32,
 }
 
@@ -68,7 +68,7 @@
         from_backend(&self.key, spec)
     }
 
-    /// Sends a request that is answered in ten milliseconds.
+    /// Sends a request that is answered after ten milliseconds.
     fn exchange(&mut self, agent: &mut AgentUnderTest, answer_bytes: usize) {
         self.request(agent);
         agent.now_ms += 10;
@@ -78,8 +78,9 @@
     }
 }
 
-/// Returns an agent whose backend server has served requests, with flows without any.
-fn served(has_deadline: bool) -> (AgentUnderTest, Vec<Caller>) {
+/// Returns an agent whose backend server has answered the requests on all its flows, and the
+/// callers.
+fn agent_after_requests(has_deadline: bool) -> (AgentUnderTest, Vec<Caller>) {
     let mut agent = AgentUnderTest::new(3, true);
     if has_deadline {
         let text = format!("{CALLED},300,1500\n");
@@ -97,8 +98,9 @@
     (agent, callers)
 }
 
-/// Returns the caller of a flow that is known from its backend server's packets, since no opener may be taken.
-fn known(agent: &mut AgentUnderTest, port: u16) -> Caller {
+/// Returns the caller of a flow that the agent learned from a packet of the backend server. No
+/// opener may be taken during a stall.
+fn caller_of_known_flow(agent: &mut AgentUnderTest, port: u16) -> Caller {
     let mut caller = Caller {
         key: flow(port),
         next: 101,
@@ -108,19 +110,19 @@
     caller
 }
 
-/// Lets time pass, with a request of a flow of its own each 50 ms that the backend server refuses for its full queue,
-/// and returns the flows that were reset.
-fn pass(agent: &mut AgentUnderTest, for_ms: u64, first_port: u16) -> Vec<FlowKey> {
+/// Advances the time, with a request on a new flow every 50 ms that the backend server refuses
+/// because its queue is full. Returns the flows that were reset.
+fn pass_time(agent: &mut AgentUnderTest, for_ms: u64, first_port: u16) -> Vec<FlowKey> {
     let mut reset = Vec::new();
     let end_ms = agent.now_ms + for_ms;
     let mut ports = first_port..;
     while agent.now_ms < end_ms {
-        let mut caller = known(agent, ports.next().expect("a port"));
+        let mut caller = caller_of_known_flow(agent, ports.next().expect("a port"));
         if reaches_backend(&caller.send(agent, 0, REQUEST_BYTES)) {
             let answer = refusal(caller.answer(ANSWER_BYTES));
             agent.backend(answer);
         } else {
-            // It waits at the agent, and its caller leaves.
+            // The request is held back at the agent, and the caller leaves.
             caller.send(agent, RST, 0);
         }
         agent.now_ms += LOOK_MS / 2;
@@ -129,35 +131,36 @@
     reset
 }
 
-/// Hands over requests that are not answered.
-fn begin_to_hang(agent: &mut AgentUnderTest) -> Vec<Caller> {
+/// Sends requests that are not answered, and returns their callers.
+fn start_hanging_requests(agent: &mut AgentUnderTest) -> Vec<Caller> {
     let hung = HUNG.map(|port| {
         agent.now_ms += 1;
-        let mut caller = known(agent, port);
+        let mut caller = caller_of_known_flow(agent, port);
         caller.request(agent);
         caller
     });
     hung.collect()
 }
 
-/// Lets the backend server hang with some requests, and returns their callers and the flows that were reset.
-fn hang(agent: &mut AgentUnderTest) -> (Vec<Caller>, Vec<FlowKey>) {
-    let hung = begin_to_hang(agent);
-    let reset = pass(agent, 1_500, 1_000);
+/// Stalls the backend server with some requests, and returns their callers and the flows that were
+/// reset.
+fn stall_backend(agent: &mut AgentUnderTest) -> (Vec<Caller>, Vec<FlowKey>) {
+    let hung = start_hanging_requests(agent);
+    let reset = pass_time(agent, 1_500, 1_000);
     (hung, reset)
 }
 
-/// Lets the backend server hang until the agent resets the first flows, and returns these.
-fn hang_until_stalled(agent: &mut AgentUnderTest) -> Vec<FlowKey> {
-    begin_to_hang(agent);
-    let mut resets = (1_000..1_100).map(|port| pass(agent, LOOK_MS / 2, port));
+/// Stalls the backend server until the agent resets the first flows, and returns these.
+fn stall_until_first_reset(agent: &mut AgentUnderTest) -> Vec<FlowKey> {
+    start_hanging_requests(agent);
+    let mut resets = (1_000..1_100).map(|port| pass_time(agent, LOOK_MS / 2, port));
     resets.find(|reset| !reset.is_empty()).expect("a stall")
 }
 
 #[test]
-fn flows_without_a_request_are_reset_and_those_with_one_stay() {
-    let (mut agent, callers) = served(true);
-    let (hung, mut reset) = hang(&mut agent);
+fn a_stall_resets_flows_without_a_request_and_keeps_the_others() {
+    let (mut agent, callers) = agent_after_requests(true);
+    let (hung, mut reset) = stall_backend(&mut agent);
     reset.sort_unstable();
     let idle: Vec<FlowKey> = callers.iter().map(|caller| caller.key).collect();
     let of_idle: Vec<FlowKey> = reset
@@ -165,33 +168,33 @@
         .copied()
         .filter(|key| idle.contains(key))
         .collect();
-    assert_eq!(of_idle, idle, "each once");
+    assert_eq!(of_idle, idle, "each idle flow is reset once");
     assert!(hung.iter().all(|caller| !reset.contains(&caller.key)));
 }
 
 #[test]
-fn callers_with_time_for_further_attempts_keep_their_flows() {
-    let (mut agent, _) = served(false);
-    let (_, reset) = hang(&mut agent);
+fn a_stall_resets_no_flows_of_callers_with_time_for_further_attempts() {
+    let (mut agent, _) = agent_after_requests(false);
+    let (_, reset) = stall_backend(&mut agent);
     assert!(reset.is_empty());
     let actions = agent.deliver(&opener(&flow(1), 0));
-    // It fails requests as well, so that one is tried each 200 ms.
+    // The backend server also fails requests, so an opener is let through every 200 ms.
     let taken = reaches_backend(&actions);
     agent.now_ms += 200;
     let next = reaches_backend(&agent.deliver(&opener(&flow(2), 0)));
-    assert!(taken || next, "as without a deadline");
+    assert!(taken || next, "probed as a failing server");
 }
 
 #[test]
 fn resets_come_in_bounded_batches() {
-    let (mut agent, callers) = served(true);
-    let first = hang_until_stalled(&mut agent).len();
+    let (mut agent, callers) = agent_after_requests(true);
+    let first = stall_until_first_reset(&mut agent).len();
     assert!(first < callers.len(), "{first} of {}", callers.len());
 }
 
 #[test]
-fn flows_whose_state_is_not_clear_stay() {
-    let (mut agent, _) = served(true);
+fn a_stall_resets_no_flows_whose_state_is_uncertain() {
+    let (mut agent, _) = agent_after_requests(true);
     let mut unacknowledged = Caller::open(&mut agent, 10);
     unacknowledged.exchange(&mut agent, ANSWER_BYTES);
     let lost = unacknowledged.answer(ANSWER_BYTES);
@@ -215,7 +218,7 @@
     };
     agent.backend(from_backend(&ended.key, end));
 
-    let (_, reset) = hang(&mut agent);
+    let (_, reset) = stall_backend(&mut agent);
     assert!(!reset.is_empty());
     for caller in [
         unacknowledged,
@@ -229,9 +232,9 @@
 }
 
 #[test]
-fn nothing_is_reset_after_one_answer() {
-    let (mut agent, _) = served(true);
-    hang_until_stalled(&mut agent);
+fn one_answer_ends_the_resets_of_a_stall() {
+    let (mut agent, _) = agent_after_requests(true);
+    stall_until_first_reset(&mut agent);
     let mut caller = Caller {
         key: flow(HUNG.start),
         next: 101 + REQUEST_BYTES as u32,
@@ -240,13 +243,13 @@
     let answer = caller.answer(ANSWER_BYTES);
     agent.backend(answer);
     assert!(resets(&agent.check_for_stall()).is_empty());
-    assert!(pass(&mut agent, 500, 2_000).is_empty());
+    assert!(pass_time(&mut agent, 500, 2_000).is_empty());
 }
 
 #[test]
-fn a_flow_that_was_reset_is_served_if_its_caller_missed_that() {
-    let (mut agent, mut callers) = served(true);
-    hang(&mut agent);
+fn a_flow_is_still_served_if_its_caller_missed_the_reset() {
+    let (mut agent, mut callers) = agent_after_requests(true);
+    stall_backend(&mut agent);
     assert!(reaches_backend(&callers[0].send(
         &mut agent,
         0,
@@ -258,9 +261,9 @@
 }
 
 #[test]
-fn one_opener_at_a_time_is_tried() {
-    let (mut agent, _) = served(true);
-    hang(&mut agent);
+fn a_stalled_backend_server_is_probed_with_one_opener_at_a_time() {
+    let (mut agent, _) = agent_after_requests(true);
+    stall_backend(&mut agent);
     let mut taken = Vec::new();
     for port in 3_000..3_200 {
         agent.now_ms += 10;
@@ -277,9 +280,9 @@
 }
 
 #[test]
-fn an_opener_that_two_agents_passed_on_is_taken_all_the_same() {
-    let (mut agent, _) = served(true);
-    hang(&mut agent);
+fn a_stalled_agent_takes_an_opener_that_two_agents_handed_on() {
+    let (mut agent, _) = agent_after_requests(true);
+    stall_backend(&mut agent);
     let mut message = Message::new(MessageKind::HandOn);
     for (hops, is_taken) in [(0, true), (1, false), (2, true)] {
         message.hops = hops;
@@ -288,17 +291,17 @@
         assert_eq!(
             reaches_backend(&actions),
             is_taken,
-            "after {hops} hops, the first one is tried"
+            "after {hops} hops; the first opener is a probe"
         );
     }
 }
 
 #[test]
-fn room_grows_in_steps_after_a_stall() {
-    let (mut agent, _) = served(true);
-    let mut hung = begin_to_hang(&mut agent);
+fn room_grows_gradually_after_a_stall() {
+    let (mut agent, _) = agent_after_requests(true);
+    let mut hung = start_hanging_requests(&mut agent);
     for port in 1_000..1_024 {
-        let mut caller = known(&mut agent, port);
+        let mut caller = caller_of_known_flow(&mut agent, port);
         caller.request(&mut agent);
         hung.push(caller);
         agent.now_ms += LOOK_MS / 2;
@@ -328,10 +331,13 @@
 
 #[test]
 fn load_and_failures_of_a_stall_do_not_keep_openers_away_after_it() {
-    let (mut agent, _) = served(true);
+    let (mut agent, _) = agent_after_requests(true);
     agent.look_at_load();
-    let (mut hung, _) = hang(&mut agent);
-    assert!(pass(&mut agent, 2_000, 2_000).is_empty(), "all were reset");
+    let (mut hung, _) = stall_backend(&mut agent);
+    assert!(
+        pass_time(&mut agent, 2_000, 2_000).is_empty(),
+        "all were reset"
+    );
     agent.look_at_load();
     for caller in &mut hung {
         let answer = caller.answer(ANSWER_BYTES);
@@ -349,11 +355,11 @@
 }
 
 #[test]
-fn a_backend_server_that_returns_packets_does_not_stand_still() {
-    let (mut agent, _) = served(true);
+fn a_backend_server_that_returns_packets_is_not_stalled() {
+    let (mut agent, _) = agent_after_requests(true);
     let mut reset = Vec::new();
     for port in 1_000..1_060 {
-        let mut caller = known(&mut agent, port);
+        let mut caller = caller_of_known_flow(&mut agent, port);
         let spec = PacketSpec {
             flags: ACK,
             sequence: caller.next,
@@ -369,9 +375,9 @@
 }
 
 #[test]
-fn a_new_lifetime_begins_without_a_stall() {
-    let (mut agent, _) = served(true);
-    hang(&mut agent);
+fn a_new_lifetime_is_not_stalled() {
+    let (mut agent, _) = agent_after_requests(true);
+    stall_backend(&mut agent);
     agent.refuse();
     agent.now_ms += 200;
     agent.refuse();
--- a/tests/opaque/unpublished_servers.rs
+++ b/tests/opaque/unpublished_servers.rs
@@ -1,7 +1,7 @@
-//! Which openers an agent takes whose backend server listens and is not published, and who sends it some.
+//! Backend servers that listen without a published entry get no new flows, whatever their agents
+//! have seen.
 //!
-//! None, whatever the agent has seen of its server: see docs/design/servers-before-their-entries.md, whose rows these
-//! tests follow in order.
+//! The tests follow the rows of docs/design/servers-before-their-entries.md in order.
 
 use endivedyke::Revision;
 use endivedyke::opaque::{Backend, BackendState, Deadline, Directory, ROUTES_HEADER, RouteTable};
@@ -11,9 +11,9 @@
     publish, reaches_backend, resets, started_text, state_text, takers, vanish,
 };
 
-/// The service to which the address of a server that has left goes.
+/// The service that takes over the address of a server that has left.
 const OTHER_SERVICE: &str = "scene-intake";
-/// What callers wait on the route with a deadline: there is time for one attempt.
+/// The objective and the timeout of the route's callers, which have time for one attempt.
 const DEADLINE_MS: (u32, u32) = (300, 1_500);
 
 /// What an agent has seen of the connection to its server since it started.
@@ -25,7 +25,8 @@
     RefusedThenAccepted,
 }
 
-/// Returns the agent on host 1, which knows a route to its service and no entry of its server; that of host 2 is known.
+/// Returns the agent on host 1, which knows a route to its service and the entry of the server on
+/// host 2, but no entry of its own server.
 fn agent(seen: Seen) -> AgentUnderTest {
     let mut agent = AgentUnderTest::new(1, false);
     agent.directory = Directory::default();
@@ -47,7 +48,7 @@
     agent
 }
 
-/// Lets the process of the server end, so that connections are refused, and another one listen.
+/// Ends the process of the server, so that connections are refused, and starts another one.
 fn restart_server(agent: &mut AgentUnderTest) {
     agent.flow_agent.handle_backend_disconnected(agent.now_ms);
     agent.refuse();
@@ -57,8 +58,8 @@
     agent.flow_agent.handle_backend_listening(agent.now_ms);
 }
 
-/// Tells whether an opener of a new flow reaches the server.
-fn takes(agent: &mut AgentUnderTest, port: u16) -> bool {
+/// Returns whether an opener of a new flow reaches the server.
+fn takes_opener(agent: &mut AgentUnderTest, port: u16) -> bool {
     reaches_backend(&agent.deliver(&opener(&flow(port), 0)))
 }
 
@@ -71,16 +72,16 @@
 }
 
 #[test]
-fn a_server_that_is_not_published_takes_no_flow_whatever_its_agent_has_seen() {
+fn an_unpublished_server_takes_no_flow_whatever_its_agent_has_seen() {
     for seen in [Seen::Accepted, Seen::RefusedThenAccepted] {
         let mut agent = agent(seen);
-        assert!(!takes(&mut agent, 1), "{seen:?}");
+        assert!(!takes_opener(&mut agent, 1), "{seen:?}");
         assert!(
             agent.flow_agent.is_backend_unlisted(&agent.directory),
             "{seen:?}"
         );
         publish_own(&mut agent, BackendState::Ready);
-        assert!(takes(&mut agent, 2), "{seen:?}");
+        assert!(takes_opener(&mut agent, 2), "{seen:?}");
         assert!(
             !agent.flow_agent.is_backend_unlisted(&agent.directory),
             "{seen:?}"
@@ -89,70 +90,70 @@
 }
 
 #[test]
-fn the_word_of_its_agent_makes_no_row_of_the_table() {
+fn an_unlisted_server_gets_no_row_in_the_table() {
     let mut directory = agent(Seen::Accepted).directory;
     directory.note_unlisted(host(1), 1_000);
-    assert!(directory.is_current(host(1)), "it is asked for flows");
+    assert!(directory.is_current(host(1)), "lookups include it");
     assert_eq!(takers(&directory), [host(2)]);
 }
 
 #[test]
-fn an_agent_that_restarts_alone_beside_a_draining_server_hands_it_nothing() {
-    // The entry lapsed, and with the processes that were killed went all memory that it said "draining".
+fn an_agent_restarted_next_to_a_draining_server_hands_it_no_flow() {
+    // The entry lapsed, and the killed processes were the only ones that knew its state "draining".
     let mut agent = agent(Seen::Accepted);
-    assert!(!takes(&mut agent, 1));
+    assert!(!takes_opener(&mut agent, 1));
     publish_own(&mut agent, BackendState::Draining);
-    assert!(!takes(&mut agent, 2));
+    assert!(!takes_opener(&mut agent, 2));
 }
 
 #[test]
-fn the_server_of_another_service_at_the_address_gets_nothing_of_the_old_one() {
-    // The settings still name the service of the server that has left.
+fn a_server_of_another_service_at_the_address_gets_no_flow_of_the_old_one() {
+    // The agent's settings still name the service of the server that has left.
     let mut agent = agent(Seen::RefusedThenAccepted);
-    assert!(!takes(&mut agent, 1));
+    assert!(!takes_opener(&mut agent, 1));
     let text = state_text(1, BackendState::Ready).replace(SERVICE, OTHER_SERVICE);
     publish(&mut agent.directory, 1, &text, 9, agent.now_ms);
-    assert!(!takes(&mut agent, 2));
+    assert!(!takes_opener(&mut agent, 2));
 }
 
 #[test]
-fn an_address_whose_server_drained_and_was_taken_off_takes_nothing() {
+fn an_address_whose_server_drained_and_left_takes_no_flow() {
     for seen in [Seen::Accepted, Seen::RefusedThenAccepted] {
         let mut agent = agent(seen);
         publish_own(&mut agent, BackendState::Draining);
         vanish(&mut agent.directory, 1, 9, agent.now_ms);
         agent.handle_published_change();
-        assert!(!takes(&mut agent, 1), "{seen:?}");
+        assert!(!takes_opener(&mut agent, 1), "{seen:?}");
         restart_server(&mut agent);
-        assert!(!takes(&mut agent, 2), "{seen:?}");
+        assert!(!takes_opener(&mut agent, 2), "{seen:?}");
     }
 }
 
 #[test]
-fn a_server_in_an_evacuated_zone_takes_nothing_before_or_after_its_entry() {
+fn a_server_in_an_evacuated_zone_takes_no_flow_before_or_after_its_entry() {
     let mut agent = agent(Seen::RefusedThenAccepted);
     agent.directory.set_evacuated(ZONE, true, 9);
-    assert!(!takes(&mut agent, 1));
+    assert!(!takes_opener(&mut agent, 1));
     publish_own(&mut agent, BackendState::Ready);
-    assert!(!takes(&mut agent, 2));
+    assert!(!takes_opener(&mut agent, 2));
     agent.directory.set_evacuated(ZONE, false, 10);
-    assert!(takes(&mut agent, 3));
+    assert!(takes_opener(&mut agent, 3));
 }
 
 #[test]
-fn a_lapsed_entry_lets_an_agent_that_saw_it_go_on_for_as_long_as_it_may_come_back() {
+fn a_lapsed_entry_counts_until_it_can_no_longer_come_back() {
     let mut agent = agent(Seen::Accepted);
     publish_own(&mut agent, BackendState::Ready);
     vanish(&mut agent.directory, 1, 9, agent.now_ms);
     agent.handle_published_change();
-    assert!(takes(&mut agent, 1));
+    assert!(takes_opener(&mut agent, 1));
     agent.now_ms += 2_500;
     agent.directory.expire(agent.now_ms, agent.now_ms);
-    assert!(!takes(&mut agent, 2));
+    assert!(!takes_opener(&mut agent, 2));
 }
 
 #[test]
-fn a_store_that_came_back_from_an_older_copy_is_believed_as_far_as_it_tells() {
+fn after_a_restore_the_agent_follows_the_entries_of_the_older_copy() {
     let restored = Revision::new(1, 5).expect("small");
     for (text, taken) in [
         (Some(started_text(1, 100)), true),
@@ -166,52 +167,52 @@
             let now_ms = agent.now_ms;
             agent.directory.apply("i-before", backend, restored, now_ms);
         }
-        assert_eq!(takes(&mut agent, 1), taken, "{text:?}");
+        assert_eq!(takes_opener(&mut agent, 1), taken, "{text:?}");
     }
 }
 
 #[test]
-fn a_server_whose_entry_was_overwritten_takes_nothing() {
+fn a_server_whose_entry_was_overwritten_takes_no_flow() {
     for seen in [Seen::Accepted, Seen::RefusedThenAccepted] {
         let mut agent = agent(seen);
-        // No process knows whose it is, as none has read it while it was sound.
+        // No process knows whose entry it is, as none has read it while it was valid.
         overwrite(&mut agent.directory, 1, 9, agent.now_ms);
-        assert!(!takes(&mut agent, 1), "{seen:?}");
+        assert!(!takes_opener(&mut agent, 1), "{seen:?}");
         publish_own(&mut agent, BackendState::Ready);
-        assert!(takes(&mut agent, 2), "{seen:?}");
+        assert!(takes_opener(&mut agent, 2), "{seen:?}");
         overwrite(&mut agent.directory, 1, 11, agent.now_ms);
-        assert!(!takes(&mut agent, 3), "{seen:?}");
+        assert!(!takes_opener(&mut agent, 3), "{seen:?}");
     }
 }
 
 #[test]
-fn what_an_agent_has_seen_is_not_left_to_the_one_after_it() {
+fn a_new_agent_does_not_inherit_what_the_previous_one_has_seen() {
     let mut agent = agent(Seen::RefusedThenAccepted);
     publish_own(&mut agent, BackendState::Ready);
-    assert!(takes(&mut agent, 1));
-    // The next agent finds the server listening, and the store empty.
+    assert!(takes_opener(&mut agent, 1));
+    // The next agent finds the server listening and no entry of it.
     let directory = self::agent(Seen::Accepted).directory;
     agent.flow_agent = flow_agent(identity(1));
     agent.directory = directory;
     agent.flow_agent.handle_backend_listening(agent.now_ms);
-    assert!(!takes(&mut agent, 2));
+    assert!(!takes_opener(&mut agent, 2));
 }
 
 #[test]
-fn a_server_that_restarts_twice_takes_nothing_until_one_of_its_lifetimes_is_published() {
+fn a_server_that_restarts_twice_takes_no_flow_until_a_lifetime_is_published() {
     let mut agent = agent(Seen::RefusedThenAccepted);
     restart_server(&mut agent);
-    assert!(!takes(&mut agent, 1));
+    assert!(!takes_opener(&mut agent, 1));
     publish_own(&mut agent, BackendState::Ready);
-    assert!(takes(&mut agent, 2));
+    assert!(takes_opener(&mut agent, 2));
     agent.open(&flow(2), 500);
     agent.answer_from_backend(&flow(2));
-    // Its entry stands for a while after it has ended, and the next lifetime takes flows under it.
+    // The entry outlives the process for a while, and the next lifetime takes flows under it.
     agent.flow_agent.handle_backend_disconnected(agent.now_ms);
     agent.refuse();
     agent.now_ms += 200;
     assert_eq!(resets(&agent.refuse()), [flow(2)]);
-    assert!(!takes(&mut agent, 3), "nothing listens");
+    assert!(!takes_opener(&mut agent, 3), "nothing listens");
     agent.flow_agent.handle_backend_listening(agent.now_ms);
-    assert!(takes(&mut agent, 4));
+    assert!(takes_opener(&mut agent, 4));
 }
--- a/tests/opaque/waiting.rs
+++ b/tests/opaque/waiting.rs
@@ -1,5 +1,5 @@
-//! What waits at its agent for a slot, where callers have time for one attempt, and what becomes of it when
-//! something fails.
+//! The queue of openers and requests that wait for a slot at their agent, on routes whose callers
+//! have time for one attempt, also under failures.
 
 use endivedyke::opaque::{
     Action, BackendState, FlowKey, Message, MessageKind, ROUTES_HEADER, RouteTable, deadlines,
@@ -13,10 +13,11 @@
 
 const OBJECTIVE_MS: u64 = 300;
 const TIMEOUT_MS: u64 = 1_500;
-/// How many requests fill the backend server of these tests and what may wait in its own queue.
+/// The number of requests that fill the slots of the backend server and the share of its own queue
+/// that may be used.
 const FULL: u16 = 16;
 
-/// Returns an agent of some hosts whose callers have time for one attempt.
+/// Returns an agent on a site of three hosts, whose callers have time for one attempt.
 fn agent() -> AgentUnderTest {
     let mut agent = AgentUnderTest::new(3, true);
     let text = format!("{CALLED},{OBJECTIVE_MS},{TIMEOUT_MS}\n");
@@ -25,7 +26,8 @@
     agent
 }
 
-/// Returns an agent whose backend server has as many requests as it may have, on flows from port 1 on.
+/// Returns an agent whose backend server has as many requests as it may have, on flows of ports
+/// from 1.
 fn full_agent() -> AgentUnderTest {
     let mut agent = agent();
     for port in 1..=FULL {
@@ -35,7 +37,7 @@
     agent
 }
 
-/// Lets the backend server answer the request on a flow, and returns what follows.
+/// Answers the request on a flow as its backend server, and returns the agent's actions.
 pub(crate) fn answer(agent: &mut AgentUnderTest, port: u16) -> Vec<Action> {
     let spec = PacketSpec {
         flags: ACK,
@@ -50,7 +52,7 @@
     next_request_on(&flow(port))
 }
 
-/// Returns a request on a flow that is open: the bytes after its first one.
+/// Returns a request on an open flow, with the data that follows the first request.
 pub(crate) fn next_request_on(key: &FlowKey) -> Vec<u8> {
     let spec = PacketSpec {
         flags: ACK,
@@ -71,8 +73,8 @@
     from_caller(&flow(port), spec)
 }
 
-/// Lets requests begin on open flows until one has to wait, and returns the port of its flow.
-fn first_that_waits(agent: &mut AgentUnderTest) -> u16 {
+/// Sends requests on open flows until one is held back, and returns the port of its flow.
+fn first_held_back(agent: &mut AgentUnderTest) -> u16 {
     for port in 200..300 {
         agent.answer_from_backend(&flow(port));
         if !reaches_backend(&agent.deliver(&next_request(port))) {
@@ -89,7 +91,7 @@
 }
 
 /// Returns the packets that actions hand to the backend server.
-pub(crate) fn handed(actions: &[Action]) -> Vec<&[u8]> {
+pub(crate) fn packets_to_backend(actions: &[Action]) -> Vec<&[u8]> {
     let handed = actions.iter().filter_map(|action| match action {
         Action::ToBackend(packet) => Some(packet.as_slice()),
         _ => None,
@@ -98,7 +100,7 @@
 }
 
 #[test]
-fn an_offer_is_taken_with_a_slot_free_and_declined_with_the_wait_without_one() {
+fn an_offer_is_taken_if_a_slot_is_free_and_else_declined_with_the_wait() {
     let mut agent = agent();
     assert!(reaches_backend(&offer(&mut agent, &flow(1))));
     let mut agent = full_agent();
@@ -114,7 +116,7 @@
 }
 
 #[test]
-fn an_opener_that_is_assigned_waits_and_goes_with_the_next_answer() {
+fn an_assigned_opener_is_queued_and_handed_over_after_an_answer() {
     let mut agent = full_agent();
     let actions = agent.deliver(&opener(&flow(100), 0));
     assert!(!reaches_backend(&actions));
@@ -125,13 +127,13 @@
     let mut taken = 0;
     for port in 1..=FULL {
         agent.now_ms += 5;
-        taken += handed(&answer(&mut agent, port)).len();
+        taken += packets_to_backend(&answer(&mut agent, port)).len();
     }
     assert_eq!(taken, 1);
 }
 
 #[test]
-fn an_opener_that_waited_in_vain_is_refused_with_time_for_another_attempt() {
+fn an_opener_that_waits_too_long_is_refused_while_its_caller_has_time_to_retry() {
     let mut agent = full_agent();
     agent.deliver(&opener(&flow(100), 0));
     let actions = agent.tick_at(agent.now_ms + 2 * OBJECTIVE_MS);
@@ -143,7 +145,7 @@
 }
 
 #[test]
-fn an_opener_does_not_wait_for_a_backend_server_that_answers_nothing() {
+fn a_queued_opener_is_handed_on_if_the_backend_server_answers_nothing() {
     let mut agent = full_agent();
     agent.deliver(&opener(&flow(100), 0));
     let actions = agent.tick_at(agent.now_ms + OBJECTIVE_MS);
@@ -151,7 +153,7 @@
 }
 
 #[test]
-fn what_waits_goes_to_others_when_its_agent_stops_or_its_backend_server_is_gone() {
+fn a_queued_opener_is_handed_on_when_the_agent_stops_or_the_backend_server_is_unavailable() {
     type Failure = fn(&mut AgentUnderTest) -> Vec<Action>;
     let failures: [(&str, Failure); 4] = [
         ("the agent stops", |agent| agent.leave()),
@@ -174,14 +176,17 @@
         let mut agent = full_agent();
         agent.deliver(&opener(&flow(100), 0));
         let actions = fail(&mut agent);
-        let passed_on = hosts_told(&actions, MessageKind::HandOn).len();
+        let handed_on = hosts_told(&actions, MessageKind::HandOn).len();
         let dropped = !resets(&actions).contains(&flow(100));
         assert!(
-            passed_on >= 1 || (name == "the zone is evacuated" && dropped),
+            handed_on >= 1 || (name == "the zone is evacuated" && dropped),
             "{name}: {actions:?}"
         );
         let later = agent.tick_at(agent.now_ms + 2_000);
-        assert!(resets(&later).is_empty(), "{name}: it is forgotten here");
+        assert!(
+            resets(&later).is_empty(),
+            "{name}: the opener is no longer queued"
+        );
     }
 }
 
@@ -200,7 +205,7 @@
 }
 
 #[test]
-fn an_agent_that_wakes_late_hands_over_nothing_stale() {
+fn an_agent_that_was_paused_hands_over_no_expired_opener() {
     let mut agent = full_agent();
     agent.deliver(&opener(&flow(100), 0));
     agent.now_ms += 10_000;
@@ -210,7 +215,7 @@
 }
 
 #[test]
-fn a_new_lifetime_of_the_backend_server_gets_what_waits_once() {
+fn a_new_lifetime_of_the_backend_server_gets_a_queued_opener_once() {
     let mut agent = full_agent();
     publish(
         &mut agent.directory,
@@ -233,21 +238,24 @@
     let mut handed_over = 0;
     for after_ms in [20, 40, 60] {
         let actions = agent.tick_at(agent.now_ms + after_ms);
-        handed_over += handed(&actions).len();
+        handed_over += packets_to_backend(&actions).len();
     }
     assert_eq!(handed_over, 1);
 }
 
 #[test]
-fn a_request_on_an_open_flow_waits_for_room_whole_and_in_order() {
+fn a_request_on_an_open_flow_is_held_back_whole_and_in_order() {
     let mut agent = full_agent();
-    let port = first_that_waits(&mut agent);
+    let port = first_held_back(&mut agent);
     let first = next_request(port);
-    assert!(!reaches_backend(&agent.deliver(&first)), "nor its copy");
+    assert!(
+        !reaches_backend(&agent.deliver(&first)),
+        "a copy is held back too"
+    );
     let end = from_caller_with(port, FIN, 181);
     assert!(
         !reaches_backend(&agent.deliver(&end)),
-        "nor what is behind it"
+        "the end of the data is held back too"
     );
     let acknowledges = from_caller_with(port, 0, 181);
     assert!(reaches_backend(&agent.deliver(&acknowledges)));
@@ -256,17 +264,20 @@
         agent.now_ms += 5;
         actions.extend(answer(&mut agent, port));
     }
-    assert_eq!(handed(&actions), [first.as_slice(), end.as_slice()]);
+    assert_eq!(
+        packets_to_backend(&actions),
+        [first.as_slice(), end.as_slice()]
+    );
 }
 
 #[test]
-fn a_request_whose_caller_left_is_handed_over_no_more() {
+fn a_held_back_request_is_dropped_when_its_caller_leaves() {
     let mut agent = full_agent();
-    let port = first_that_waits(&mut agent);
+    let port = first_held_back(&mut agent);
     let left = from_caller_with(port, RST, 181);
     assert!(
         reaches_backend(&agent.deliver(&left)),
-        "its backend server is told"
+        "the backend server gets the reset"
     );
     for port in 1..=FULL {
         agent.now_ms += 5;
@@ -275,27 +286,30 @@
 }
 
 #[test]
-fn a_request_is_not_kept_from_a_backend_server_that_answers_nothing() {
+fn held_back_requests_are_handed_over_if_the_backend_server_answers_nothing() {
     let mut agent = full_agent();
-    let port = first_that_waits(&mut agent);
+    let port = first_held_back(&mut agent);
     let later_ms = agent.now_ms + OBJECTIVE_MS;
     let actions = agent.tick_at(later_ms);
     assert_eq!(
-        handed(&actions),
+        packets_to_backend(&actions),
         [next_request(port).as_slice()],
-        "its own queue refuses at once"
+        "the server's own full queue refuses it at once"
     );
 }
 
 #[test]
-fn requests_that_wait_are_handed_over_when_the_agent_stops() {
+fn held_back_requests_are_handed_over_when_the_agent_stops() {
     let mut agent = full_agent();
-    let port = first_that_waits(&mut agent);
-    assert_eq!(handed(&agent.leave()), [next_request(port).as_slice()]);
+    let port = first_held_back(&mut agent);
+    assert_eq!(
+        packets_to_backend(&agent.leave()),
+        [next_request(port).as_slice()]
+    );
 }
 
 #[test]
-fn without_a_deadline_nothing_waits_here() {
+fn nothing_is_queued_without_a_deadline() {
     let mut agent = AgentUnderTest::new(3, true);
     for port in 1..=20 {
         agent.open(&flow(port), 500);
@@ -308,7 +322,7 @@
 }
 
 #[test]
-fn a_packet_that_was_overtaken_waits_in_its_place() {
+fn a_packet_that_arrives_out_of_order_is_queued_in_sequence() {
     let mut agent = full_agent();
     for port in 200..300 {
         agent.answer_from_backend(&flow(port));
@@ -322,23 +336,29 @@
         };
         from_caller(&flow(port), spec)
     };
-    let port = first_that_waits(&mut agent);
+    let port = first_held_back(&mut agent);
     agent.deliver(&from_caller_with(port, RST, 181));
     let port = port + 1;
     let (first, second) = (next_request(port), part(port, 181));
     assert!(!reaches_backend(&agent.deliver(&second)));
-    assert!(!reaches_backend(&agent.deliver(&first)), "overtaken");
-    assert!(!reaches_backend(&agent.deliver(&first)), "and its copy");
+    assert!(
+        !reaches_backend(&agent.deliver(&first)),
+        "arrives out of order"
+    );
+    assert!(!reaches_backend(&agent.deliver(&first)), "its copy");
     let mut actions = Vec::new();
     for port in 1..=FULL {
         agent.now_ms += 5;
         actions.extend(answer(&mut agent, port));
     }
-    assert_eq!(handed(&actions), [first.as_slice(), second.as_slice()]);
+    assert_eq!(
+        packets_to_backend(&actions),
+        [first.as_slice(), second.as_slice()]
+    );
 }
 
 #[test]
-fn an_offer_that_an_older_configuration_does_not_know_is_declined() {
+fn an_offer_for_a_route_unknown_to_an_older_configuration_is_declined() {
     let mut agent = agent();
     let routes = RouteTable::parse(&format!("{ROUTES_HEADER}\n")).expect("sound");
     agent.directory.set_routes(routes);
