--- a/src/opaque/flow_agent/backend_process.rs
+++ b/src/opaque/flow_agent/backend_process.rs
@@ -50,7 +50,7 @@
         if context.now_ms < since_ms + REFUSED_TIMEOUT_MS {
             return Vec::new();
         }
-        self.backend_ended(context)
+        self.handle_backend_ended(context)
     }
 
     /// Handles an accepted connection to the backend server.
@@ -76,7 +76,7 @@
         let is_quiet = context.now_ms >= self.last_backend_packet_ms + QUIET_MS;
         let mut actions = Vec::new();
         if is_gone && is_quiet && self.is_refusing {
-            actions = self.backend_ended(context);
+            actions = self.handle_backend_ended(context);
         }
         self.flush_queue(context, &mut actions);
         actions
@@ -84,7 +84,7 @@
 
     /// Resets all flows of a backend server whose process has ended, so that their callers open new
     /// ones instead of waiting for a timeout.
-    fn backend_ended(&mut self, context: &AgentContext<'_>) -> Vec<Action> {
+    fn handle_backend_ended(&mut self, context: &AgentContext<'_>) -> Vec<Action> {
         self.knows_all_flows = true;
         if !std::mem::replace(&mut self.is_backend_up, false) {
             return Vec::new();
--- a/src/opaque/flow_agent/held_back_requests.rs
+++ b/src/opaque/flow_agent/held_back_requests.rs
@@ -1,10 +1,10 @@
 //! Requests on open flows that wait at their agent until the backend server has room.
 //!
-//! Load pattern: there are more requests than all slots can serve, most of them on flows that
-//! are bound to their servers. In the server's own queue an urgent request waits behind all others,
-//! and once that queue is full the server refuses it. In the agent's queue urgent requests go first
-//! and none is refused. A held-back request is handed over whole and in order while its caller
-//! still waits. See docs/design/waiting-openers.md.
+//! Load pattern: there are more requests than all slots can serve, most of them on flows that are
+//! bound to their servers. In the server's own queue an urgent request waits behind all others, and
+//! once that queue is full the server refuses it. In the agent's queue urgent requests go first and
+//! none is refused. A held-back request is handed over whole and in order while its caller still
+//! waits. See docs/design/waiting-openers.md.
 
 use crate::opaque::finding::flow::{Holding, Running, is_after};
 use crate::opaque::flow_agent::delivery::busy_timeout_ms;
--- a/src/opaque/flow_agent/opener_checks.rs
+++ b/src/opaque/flow_agent/opener_checks.rs
@@ -33,13 +33,13 @@
             return Err(NotTakenReason::ColdRate);
         }
         if self.silent_since_ms.is_some() {
-            return self.check_probe_due(context, NotTakenReason::Silent);
+            return self.try_probe(context, NotTakenReason::Silent);
         }
         if self.is_stalled(context.now_ms) && self.should_try_others(context, key, opening) {
             if !self.may_probe_stalled(context, key) {
                 return Err(NotTakenReason::Stalled);
             }
-            return self.check_probe_due(context, NotTakenReason::Stalled);
+            return self.try_probe(context, NotTakenReason::Stalled);
         }
         if self.outcomes.is_failing(context.now_ms) && self.should_try_others(context, key, opening)
         {
@@ -47,7 +47,7 @@
             if !routes.may_probe(key.called, self.identity.service) {
                 return Err(NotTakenReason::Failing);
             }
-            return self.check_probe_due(context, NotTakenReason::Failing);
+            return self.try_probe(context, NotTakenReason::Failing);
         }
         let busy = match limits.deadline {
             Some(_) => self.flows.busy_now(context.now_ms),
@@ -118,7 +118,7 @@
 
     /// Lets an opener through at the probe interval, to find out whether the backend server works
     /// again.
-    fn check_probe_due(
+    fn try_probe(
         &mut self,
         context: &AgentContext<'_>,
         otherwise: NotTakenReason,
--- a/src/opaque/flow_agent/opener_limits.rs
+++ b/src/opaque/flow_agent/opener_limits.rs
@@ -15,9 +15,9 @@
 /// the three age classes.
 ///
 /// With one request waiting behind each running one, an opener that is taken still finishes within
-/// about two service times. Callers of later copies and retries have already used up most of
-/// their latency objective, or more. While there is not enough room for all, the openers that can
-/// still be served in time go first.
+/// about two service times. Callers of later copies and retries have already used up most of their
+/// latency objective, or more. While there is not enough room for all, the openers that can still
+/// be served in time go first.
 const MAX_BUSY_PER_SLOT: [f64; 3] = [2.0, 1.5, 1.0];
 /// The same for openers of a route that is more urgent than another route to the same service.
 ///
--- a/tests/opaque/declines.rs
+++ b/tests/opaque/declines.rs
@@ -54,8 +54,8 @@
         agent.now_ms += 1_000;
         agent.flow_agent.expire(agent.now_ms);
         let actions = open(&mut agent, mean);
-        let told = hosts_told(&actions, MessageKind::Declined);
-        assert_eq!(told.len(), usize::from(declines), "{mean}: {actions:?}");
+        let declined = hosts_told(&actions, MessageKind::Declined);
+        assert_eq!(declined.len(), usize::from(declines), "{mean}: {actions:?}");
         assert_eq!(reaches_backend(&actions), !declines, "{mean}");
     }
 }
--- a/tests/opaque/waiting.rs
+++ b/tests/opaque/waiting.rs
@@ -21,8 +21,8 @@
 fn agent() -> AgentUnderTest {
     let mut agent = AgentUnderTest::new(3, true);
     let text = format!("{CALLED},{OBJECTIVE_MS},{TIMEOUT_MS}\n");
-    let told = deadlines(&text).expect("sound");
-    agent.directory.set_deadlines(told);
+    let published = deadlines(&text).expect("sound");
+    agent.directory.set_deadlines(published);
     agent
 }
 
