--- a/lab/src/backend_server.rs
+++ b/lab/src/backend_server.rs
@@ -100,7 +100,7 @@
         mode_since: Cell::new(Instant::now()),
         cancelled: Cell::new(0),
     });
-    endivedyke::serve(listener, move |request| answer(backend.clone(), request)).await;
+    endivedyke::serve_http(listener, move |request| answer(backend.clone(), request)).await;
     Ok(())
 }
 
--- a/lab/src/config_service.rs
+++ b/lab/src/config_service.rs
@@ -56,7 +56,7 @@
         calls: 0,
     }));
     let listener = TcpListener::bind(address).await?;
-    endivedyke::serve(listener, move |request| answer(service.clone(), request)).await;
+    endivedyke::serve_http(listener, move |request| answer(service.clone(), request)).await;
     Ok(())
 }
 
--- a/lab/src/fabric.rs
+++ b/lab/src/fabric.rs
@@ -49,7 +49,7 @@
         compio::runtime::spawn(async move { spray(&fabric, &socket).await }).detach();
     }
     let listener = TcpListener::bind(admin).await?;
-    endivedyke::serve(listener, move |request| {
+    endivedyke::serve_http(listener, move |request| {
         let done = fabric.order(request.uri().path());
         let status = if done {
             StatusCode::OK
--- a/lab/src/http_text.rs
+++ b/lab/src/http_text.rs
@@ -30,7 +30,7 @@
         .header("host", address.to_string())
         .body(Full::from(body.to_owned()))
         .map_err(|error| endivedyke::Error::new(endivedyke::Code::Io, error.to_string()))?;
-    let response = endivedyke::call(address, request, TIMEOUT_MS).await?;
+    let response = endivedyke::send_http_request(address, request, TIMEOUT_MS).await?;
     Ok(String::from_utf8_lossy(response.body()).into_owned())
 }
 
--- a/lab/src/opaque/routers.rs
+++ b/lab/src/opaque/routers.rs
@@ -58,7 +58,7 @@
 
     async fn probe(self, index: usize, address: SocketAddr) {
         loop {
-            let answer = endivedyke::get(address, "/api/readiness", PROBE_TIMEOUT_MS).await;
+            let answer = endivedyke::http_get(address, "/api/readiness", PROBE_TIMEOUT_MS).await;
             let ready = answer.is_ok_and(|answer| answer.status().is_success());
             self.note(index, ready);
             compio::time::sleep(PROBE_PERIOD).await;
--- a/lab/src/opaque/site/processes.rs
+++ b/lab/src/opaque/site/processes.rs
@@ -118,7 +118,7 @@
     pub async fn all_ready(&self, hosts: &[Ipv4Addr]) -> bool {
         for host in hosts {
             let address = SocketAddr::from((*host, READY_PORT));
-            let answer = endivedyke::get(address, "/api/readiness", 500).await;
+            let answer = endivedyke::http_get(address, "/api/readiness", 500).await;
             if !answer.is_ok_and(|answer| answer.status().is_success()) {
                 return false;
             }
--- a/lab/src/opaque/site/seen.rs
+++ b/lab/src/opaque/site/seen.rs
@@ -50,7 +50,7 @@
     /// Returns code 5001 where the process does not answer.
     pub async fn metric(&self, host: Ipv4Addr, name: &str) -> Result<f64> {
         let address = SocketAddr::from((host, METRICS_PORT));
-        let answer = endivedyke::get(address, "/metrics", 2_000).await?;
+        let answer = endivedyke::http_get(address, "/metrics", 2_000).await?;
         let text = String::from_utf8_lossy(answer.body()).into_owned();
         Ok(crate::http_text::metric(&text, name))
     }
--- a/lab/src/opaque/store.rs
+++ b/lab/src/opaque/store.rs
@@ -94,7 +94,7 @@
                 };
                 let served = served.clone();
                 let answer = move |request| served.clone().answer(peer.ip(), request);
-                compio::runtime::spawn(endivedyke::serve_connection(stream, answer)).detach();
+                compio::runtime::spawn(endivedyke::serve_http_connection(stream, answer)).detach();
             }
         };
         compio::runtime::spawn(serving).detach();
--- a/src/controllers/relay.rs
+++ b/src/controllers/relay.rs
@@ -152,7 +152,7 @@
     }
     let took_ms = control.now_ms().saturating_sub(started_ms);
     let metrics = &control.metrics.opaque;
-    metrics.pull_seconds.observe(took_ms as f64 / 1_000.0);
+    metrics.relay_pull_seconds.observe(took_ms as f64 / 1_000.0);
     Ok(())
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -74,10 +74,14 @@
 pub use crate::error::{Error, Result};
 pub use crate::explain::{LogLine, explain, parse_log};
 pub use crate::links::link_auth::{LinkSide, authenticate};
-pub use crate::process::http_client::{call, connect, get};
-pub use crate::process::http_server::{serve, serve_connection};
-pub use crate::process::log_budget::{LogBudget, dropped_line};
-pub use crate::process::timer::{PAUSE_MS, TimerEvent, TimerId, TimerService};
+pub use crate::process::http_client::{
+    connect as http_connect, get as http_get, send_request as send_http_request,
+};
+pub use crate::process::http_server::{
+    serve as serve_http, serve_connection as serve_http_connection,
+};
+pub use crate::process::log_budget::{LogBudget, format_dropped_count};
+pub use crate::process::timer_service::{PAUSE_THRESHOLD_MS, TimerEvent, TimerId, TimerService};
 pub use crate::process::udp::bind as bind_udp;
 pub use crate::programs::daemon::{
     EXIT_USAGE, run_agent, run_balancer, run_opaque_agent, run_opaque_balancer,
--- a/src/opaque/values/value_sync.rs
+++ b/src/opaque/values/value_sync.rs
@@ -234,7 +234,9 @@
         let result = (self.source.read)(read).await;
         let took_ms = self.control.now_ms() - started_ms;
         let metrics = &self.control.metrics.opaque;
-        metrics.read_seconds.observe(took_ms as f64 / 1_000.0);
+        metrics
+            .platform_read_seconds
+            .observe(took_ms as f64 / 1_000.0);
         self.freshness.borrow_mut().set_failing(result.is_err());
         match &result {
             Ok(_) => {
--- a/src/process/http_client.rs
+++ b/src/process/http_client.rs
@@ -44,7 +44,7 @@
 /// # Errors
 ///
 /// Returns code 5001 for a failure and after `timeout_ms`.
-pub async fn call(
+pub async fn send_request(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
     timeout_ms: u64,
@@ -68,7 +68,7 @@
         .header(http::header::HOST, address.to_string())
         .body(Full::default());
     let request = request.map_err(|error| Error::new(Code::Io, error.to_string()))?;
-    call(address, request, timeout_ms).await
+    send_request(address, request, timeout_ms).await
 }
 
 async fn collect(response: Response<Incoming>) -> Result<Response<Bytes>> {
--- a/src/process/log_budget.rs
+++ b/src/process/log_budget.rs
@@ -31,7 +31,7 @@
     }
 
     /// Takes the price of one line; says whether it may be written.
-    pub fn take(&mut self, urgent: bool, now_ms: u64) -> bool {
+    pub fn try_take(&mut self, urgent: bool, now_ms: u64) -> bool {
         let passed_ms = now_ms.saturating_sub(self.filled_ms);
         let full = (BURST_LINES + RESERVED_LINES) * MS_PER_S;
         self.millilines = full.min(self.millilines + passed_ms * LINES_PER_S);
@@ -46,7 +46,7 @@
     }
 
     /// Counts a line that nobody read in time.
-    pub fn lose(&mut self) {
+    pub fn record_lost_line(&mut self) {
         self.dropped += 1;
     }
 
@@ -62,6 +62,6 @@
 
 /// Returns the line that tells how many were dropped, with the keys of all lines, by which `endivedyke explain`
 /// finds it.
-pub fn dropped_line(count: u64, time_ms: u64) -> String {
+pub fn format_dropped_count(count: u64, time_ms: u64) -> String {
     format!("time_ms={time_ms} level=INFO part=log_output event=lines_dropped count={count}")
 }
--- a/src/process/log_output.rs
+++ b/src/process/log_output.rs
@@ -8,7 +8,7 @@
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
 
 use crate::process::clock::wall_ms;
-use crate::process::log_budget::{LogBudget, dropped_line};
+use crate::process::log_budget::{LogBudget, format_dropped_count};
 
 /// The longest line, in bytes: a pipe that says it is writable takes this much without blocking
 /// (`PIPE_BUF` of Linux).
@@ -39,19 +39,19 @@
             .budget
             .lock()
             .unwrap_or_else(|poisoned| poisoned.into_inner());
-        if !budget.take(urgent, now_ms) {
+        if !budget.try_take(urgent, now_ms) {
             self.dropped.inc();
             return;
         }
         let dropped = budget.take_dropped(now_ms);
         let mut line = String::new();
         if dropped > 0 {
-            line = dropped_line(dropped, wall_ms()) + "\n";
+            line = format_dropped_count(dropped, wall_ms()) + "\n";
         }
         line.push_str(&record.args().to_string());
         if !write_now(line) {
             self.dropped.inc_by(dropped + 1);
-            budget.lose();
+            budget.record_lost_line();
         }
     }
 }
--- a/src/process/mod.rs
+++ b/src/process/mod.rs
@@ -13,6 +13,6 @@
 pub(crate) mod logging;
 pub(crate) mod metrics;
 pub(crate) mod opaque_metrics;
-pub(crate) mod timer;
+pub(crate) mod timer_service;
 pub(crate) mod timers;
 pub(crate) mod udp;
--- a/src/process/opaque_metrics.rs
+++ b/src/process/opaque_metrics.rs
@@ -49,8 +49,8 @@
     pub(crate) hints_wrong: Counter,
     pub(crate) hints_held: Gauge,
     pub(crate) values_age_seconds: Gauge<f64, AtomicU64>,
-    pub(crate) read_seconds: Histogram,
-    pub(crate) pull_seconds: Histogram,
+    pub(crate) platform_read_seconds: Histogram,
+    pub(crate) relay_pull_seconds: Histogram,
     pub(crate) hosts_suspected: Counter,
     pub(crate) entries_unusable: Gauge,
     pub(crate) zones_evacuated: Gauge,
@@ -98,8 +98,8 @@
             zones_evacuated: Gauge::default(),
             platform_era: Gauge::default(),
             values_dropped: Counter::default(),
-            read_seconds: times(),
-            pull_seconds: times(),
+            platform_read_seconds: times(),
+            relay_pull_seconds: times(),
             hosts_suspected: Counter::default(),
         }
     }
@@ -134,12 +134,12 @@
         registry.register(
             "relay_pull_seconds",
             "Time from a question to a peer for newer values until they are in force here",
-            self.pull_seconds.clone(),
+            self.relay_pull_seconds.clone(),
         );
         registry.register(
             "platform_read_seconds",
             "Time of a read of the platform, waits for changes included",
-            self.read_seconds.clone(),
+            self.platform_read_seconds.clone(),
         );
     }
 
--- a/src/process/timer.rs
+++ b/src/process/timer_service.rs
@@ -1,7 +1,7 @@
 //! The timer service: parts subscribe to periods and are told when a pause has made facts old.
 
 /// A step of the clock beyond which the process must have been paused, in milliseconds.
-pub const PAUSE_MS: u64 = 2_000;
+pub const PAUSE_THRESHOLD_MS: u64 = 2_000;
 /// The longest wait between two looks at the clock, in milliseconds.
 pub(crate) const MAX_WAIT_MS: u64 = 200;
 
@@ -58,7 +58,7 @@
     pub fn advance(&mut self, now_ms: u64) -> Vec<TimerEvent> {
         let mut events = Vec::new();
         let gap_ms = now_ms.saturating_sub(self.last_ms);
-        if gap_ms > PAUSE_MS {
+        if gap_ms > PAUSE_THRESHOLD_MS {
             events.push(TimerEvent::Resumed { gap_ms });
         }
         self.last_ms = now_ms;
--- a/src/process/timers.rs
+++ b/src/process/timers.rs
@@ -6,7 +6,7 @@
 
 use crate::process::clock::Clock;
 use crate::process::metrics::Metrics;
-use crate::process::timer::{TimerEvent, TimerId, TimerService};
+use crate::process::timer_service::{TimerEvent, TimerId, TimerService};
 
 type Action = Rc<dyn Fn()>;
 
--- a/tests/local_facts.rs
+++ b/tests/local_facts.rs
@@ -7,8 +7,8 @@
 
 use common::{host, store, table_text};
 use endivedyke::{
-    ANSWER_TIMEOUT_MS, Code, KeyRing, PAUSE_MS, RetryBudget, ReturnPath, SUSPICION_MS, SealedId,
-    SealedIdKind, ServiceId, Suspicion, TimerEvent, TimerService, owner, steer,
+    ANSWER_TIMEOUT_MS, Code, KeyRing, PAUSE_THRESHOLD_MS, RetryBudget, ReturnPath, SUSPICION_MS,
+    SealedId, SealedIdKind, ServiceId, Suspicion, TimerEvent, TimerService, owner, steer,
 };
 
 const SERVICE: &str = "panel-front";
@@ -143,8 +143,8 @@
     assert_eq!(timer.advance(49), []);
     assert_eq!(timer.advance(50), [TimerEvent::Due(id)]);
     assert_eq!(timer.advance(150), [TimerEvent::Due(id)]);
-    let late_ms = 150 + PAUSE_MS + 1;
-    let gap_ms = PAUSE_MS + 1;
+    let late_ms = 150 + PAUSE_THRESHOLD_MS + 1;
+    let gap_ms = PAUSE_THRESHOLD_MS + 1;
     let events = [TimerEvent::Resumed { gap_ms }, TimerEvent::Due(id)];
     assert_eq!(timer.advance(late_ms), events, "the timer is due once");
 }
--- a/tests/log_budget.rs
+++ b/tests/log_budget.rs
@@ -1,11 +1,11 @@
 //! How many log lines a process writes.
 
-use endivedyke::{LogBudget, dropped_line, explain, parse_log};
+use endivedyke::{LogBudget, explain, format_dropped_count, parse_log};
 
 #[test]
 fn a_flood_is_cut_to_the_budget_and_counted() {
     let mut budget = LogBudget::new(0);
-    let written = (0..10_000).filter(|_| budget.take(false, 0)).count();
+    let written = (0..10_000).filter(|_| budget.try_take(false, 0)).count();
     assert!((300..=500).contains(&written), "{written}");
     assert_eq!(budget.take_dropped(999), 0, "told once a second");
     assert_eq!(budget.take_dropped(1_000), 10_000 - written as u64);
@@ -15,15 +15,17 @@
 #[test]
 fn warnings_get_through_a_flood_and_time_refills_the_budget() {
     let mut budget = LogBudget::new(0);
-    while budget.take(false, 0) {}
-    assert!(budget.take(true, 0));
-    let later = (0..10_000).filter(|_| budget.take(false, 10_000)).count();
+    while budget.try_take(false, 0) {}
+    assert!(budget.try_take(true, 0));
+    let later = (0..10_000)
+        .filter(|_| budget.try_take(false, 10_000))
+        .count();
     assert!((300..=450).contains(&later), "{later}");
 }
 
 #[test]
 fn what_was_dropped_is_told_in_a_line_like_any_other() {
-    let text = dropped_line(27, 1_700_000_000_123);
+    let text = format_dropped_count(27, 1_700_000_000_123);
     let lines = parse_log("10.0.0.1", &text);
     assert_eq!(lines.len(), 1, "{text}");
     let (time_ms, event) = (lines[0].time_ms, lines[0].event);
@@ -37,7 +39,7 @@
     let lost = format!(
         "time_ms=5200 level=WARN part=x event=request_lost request=r-1 flow={flow} reason=closed"
     );
-    let text = format!("{}\n{lost}\n", dropped_line(27, 5_150));
+    let text = format!("{}\n{lost}\n", format_dropped_count(27, 5_150));
     let story = explain(flow, &[("10.0.0.1".to_owned(), text)]).expect("a story");
     assert!(story.contains("lines are missing there"), "{story}");
 }
