--- a/src/lib.rs
+++ b/src/lib.rs
@@ -90,4 +90,4 @@
     CODE_HEADER, REPEATABLE_HEADER, RequestSpec, TICKET_HEADER, TIMEOUT_HEADER,
 };
 pub use crate::quic::return_path::ReturnPath;
-pub use crate::quic::steering::{Route, owner, steer};
+pub use crate::quic::steering::{PacketRoute, owner_host, steer};
--- a/src/programs/daemon.rs
+++ b/src/programs/daemon.rs
@@ -22,7 +22,7 @@
 use crate::process::metrics::Metrics;
 use crate::process::{http_server, logging};
 use crate::quic::agent::Agent;
-use crate::quic::{balancer, peer_service};
+use crate::quic::{balancer, peer_handlers};
 
 /// The exit code for a command line or settings file that can't be used.
 pub const EXIT_USAGE: u8 = 2;
@@ -55,7 +55,7 @@
 pub fn run_agent() -> ExitCode {
     run("endivedyke-agent", None, |control| async move {
         let agent = Agent::new(&control)?;
-        start(&control, peer_service::hooks(&agent)).await?;
+        start(&control, peer_handlers::hooks(&agent)).await?;
         agent.run(stop_signal()).await
     })
 }
--- a/src/quic/agent_datagrams.rs
+++ b/src/quic/agent_datagrams.rs
@@ -63,7 +63,7 @@
         let now_ms = self.control.now_ms();
         match envelope.kind {
             EnvelopeKind::Leaving => {
-                self.return_path.borrow_mut().leaving(envelope.balancer);
+                self.return_path.borrow_mut().set_leaving(envelope.balancer);
                 return Ok(());
             }
             EnvelopeKind::Outbound => {
@@ -76,7 +76,7 @@
         }
         self.return_path
             .borrow_mut()
-            .heard(envelope.balancer, now_ms);
+            .record_datagram(envelope.balancer, now_ms);
         self.revision_puller
             .observe(envelope.balancer, envelope.revision);
         let target = self.target(envelope.service);
--- a/src/quic/balancer.rs
+++ b/src/quic/balancer.rs
@@ -195,7 +195,7 @@
         let mut suspicion = self.control.suspicion.borrow_mut();
         let store = self.control.store.borrow();
         let route = steering::steer(&store, &suspicion, service, packet, now_ms)?;
-        if !route.opens {
+        if !route.may_open {
             return Ok(route.host);
         }
         self.control.metrics.openers.inc();
--- a/src/quic/health.rs
+++ b/src/quic/health.rs
@@ -22,7 +22,7 @@
 
 impl Health {
     /// Takes the outcome of a request that ran, or of an attempt to connect.
-    pub fn outcome(&mut self, succeeded: bool) {
+    pub fn record_outcome(&mut self, succeeded: bool) {
         let failed = if succeeded { 0.0 } else { 1.0 };
         self.failure_rate += (failed - self.failure_rate) * WEIGHT_OF_NEW;
     }
@@ -40,7 +40,7 @@
     }
 
     /// Says whether a failing target may be tried now, and counts it as tried.
-    pub fn take_probe(&mut self, now_ms: u64) -> bool {
+    pub fn try_start_probe(&mut self, now_ms: u64) -> bool {
         let due = now_ms >= self.last_probe_ms + PROBE_MS;
         if due {
             self.last_probe_ms = now_ms;
--- a/src/quic/local_run.rs
+++ b/src/quic/local_run.rs
@@ -81,15 +81,15 @@
         Ok(response) if backend::is_shed(&response) => Err(not_run(target, Code::BackendShed)),
         Ok(response) => {
             let succeeded = !response.status().is_server_error();
-            target.health.borrow_mut().outcome(succeeded);
+            target.health.borrow_mut().record_outcome(succeeded);
             Ok(response)
         }
         Err(BackendFailure::NotHandedOver) => {
-            target.health.borrow_mut().outcome(false);
+            target.health.borrow_mut().record_outcome(false);
             Err(not_run(target, Code::BackendUnreachable))
         }
         Err(BackendFailure::Lost) => {
-            target.health.borrow_mut().outcome(false);
+            target.health.borrow_mut().record_outcome(false);
             Err(Outcome::Unknown(Code::OutcomeUnknown))
         }
     }
@@ -111,7 +111,7 @@
             body: body.to_bytes(),
         }),
         Err(_) => {
-            target.health.borrow_mut().outcome(false);
+            target.health.borrow_mut().record_outcome(false);
             Outcome::Unknown(Code::OutcomeUnknown)
         }
     }
--- a/src/quic/mod.rs
+++ b/src/quic/mod.rs
@@ -21,7 +21,7 @@
 pub(crate) mod local_run;
 pub(crate) mod move_request;
 pub(crate) mod packet;
-pub(crate) mod peer_service;
+pub(crate) mod peer_handlers;
 pub(crate) mod quic_endpoint;
 pub(crate) mod repeatable;
 pub(crate) mod request;
--- a/src/quic/repeatable.rs
+++ b/src/quic/repeatable.rs
@@ -54,7 +54,7 @@
 /// Chooses where a request should run first.
 pub(crate) fn place(context: &RequestContext<'_>) -> Place {
     let mut health = context.target.health.borrow_mut();
-    if health.is_failing() && !health.take_probe(context.agent.control.now_ms()) {
+    if health.is_failing() && !health.try_start_probe(context.agent.control.now_ms()) {
         return Place::PeerOnly;
     }
     let moves = context
@@ -132,7 +132,7 @@
     match backend::send(context.target.backend.get(), request).await {
         Ok(response) => streamed(response, None),
         Err(failure) => {
-            context.target.health.borrow_mut().outcome(false);
+            context.target.health.borrow_mut().record_outcome(false);
             let code = match failure {
                 BackendFailure::NotHandedOver => Code::BackendUnreachable,
                 BackendFailure::Lost => Code::OutcomeUnknown,
--- a/src/quic/return_path.rs
+++ b/src/quic/return_path.rs
@@ -24,7 +24,7 @@
 
 impl ReturnPath {
     /// Notes that a balancer handed over a datagram.
-    pub fn heard(&mut self, balancer: Ipv4Addr, now_ms: u64) {
+    pub fn record_datagram(&mut self, balancer: Ipv4Addr, now_ms: u64) {
         let entry = Heard {
             balancer,
             last_ms: now_ms,
@@ -37,7 +37,7 @@
     }
 
     /// Notes that a balancer said that it stops.
-    pub fn leaving(&mut self, balancer: Ipv4Addr) {
+    pub fn set_leaving(&mut self, balancer: Ipv4Addr) {
         if let Ok(index) = self.position(balancer) {
             self.heard[index].leaving = true;
         }
--- a/src/quic/steering.rs
+++ b/src/quic/steering.rs
@@ -13,11 +13,11 @@
 
 /// Where a packet goes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Route {
+pub struct PacketRoute {
     /// The host whose agent takes it.
     pub host: Ipv4Addr,
     /// Whether it may open a flow, so that an answer is expected.
-    pub opens: bool,
+    pub may_open: bool,
 }
 
 /// Chooses the agent for a packet that came in for `service`.
@@ -35,19 +35,22 @@
     service: ServiceId,
     datagram: &[u8],
     now_ms: u64,
-) -> Result<Route> {
+) -> Result<PacketRoute> {
     let view = packet::parse(datagram)?;
     if let Some(token) = SealedId::open(store.key_ring(), SealedIdKind::Token, service, view.id) {
-        return Ok(Route {
+        return Ok(PacketRoute {
             host: token.host,
-            opens: false,
+            may_open: false,
         });
     }
     if !view.may_open {
         return Err(Error::new(Code::PacketUnroutable, "no token"));
     }
-    let host = owner(store, suspicion, service, view.opener_hash(), now_ms)?;
-    Ok(Route { host, opens: true })
+    let host = owner_host(store, suspicion, service, view.opener_hash(), now_ms)?;
+    Ok(PacketRoute {
+        host,
+        may_open: true,
+    })
 }
 
 /// Returns the host of the opener's owner, or of the runner-up while the owner is suspected.
@@ -55,7 +58,7 @@
 /// # Errors
 ///
 /// Returns code 4004 for an unknown service and 4006 where no target may be chosen.
-pub fn owner(
+pub fn owner_host(
     store: &ConfigStore,
     suspicion: &Suspicion,
     service: ServiceId,
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -210,11 +210,11 @@
 fn a_failing_server_loses_its_share_and_recovers_it() {
     let mut health = Health::default();
     assert_eq!(health.share_permille(), 1_000);
-    (0..20).for_each(|_| health.outcome(false));
+    (0..20).for_each(|_| health.record_outcome(false));
     assert!(health.is_failing());
-    assert!(health.take_probe(5_000));
-    assert!(!health.take_probe(5_500), "one probe a second");
-    (0..30).for_each(|_| health.outcome(true));
+    assert!(health.try_start_probe(5_000));
+    assert!(!health.try_start_probe(5_500), "one probe a second");
+    (0..30).for_each(|_| health.record_outcome(true));
     assert_eq!(health.share_permille(), 1_000);
 }
 
--- a/tests/local_facts.rs
+++ b/tests/local_facts.rs
@@ -8,7 +8,7 @@
 use common::{host, store, table_text};
 use endivedyke::{
     ANSWER_TIMEOUT_MS, Code, KeyRing, PAUSE_MS, RetryBudget, ReturnPath, SUSPICION_MS, SealedId,
-    SealedIdKind, ServiceId, Suspicion, TimerEvent, TimerService, owner, steer,
+    SealedIdKind, ServiceId, Suspicion, TimerEvent, TimerService, owner_host, steer,
 };
 
 const SERVICE: &str = "panel-front";
@@ -42,9 +42,9 @@
     // host.
     for packet in [short, long_packet(0, &token), long_packet(2, &token)] {
         let route = route(&packet).expect("a route");
-        assert_eq!((route.host, route.opens), (gone, false));
+        assert_eq!((route.host, route.may_open), (gone, false));
     }
-    assert!(route(&long_packet(0, &[5; 8])).expect("a route").opens);
+    assert!(route(&long_packet(0, &[5; 8])).expect("a route").may_open);
     let cases = [
         (long_packet(0, &[5; 7]), Code::PacketUnroutable),
         (long_packet(2, &[5; 20]), Code::PacketUnroutable),
@@ -74,7 +74,7 @@
     let store = store(&[("table/panel-front", 1, &text)]);
     let service = ServiceId::from_name(SERVICE);
     let mut suspicion = Suspicion::default();
-    let choose = |suspicion: &Suspicion, now_ms| owner(&store, suspicion, service, 77, now_ms);
+    let choose = |suspicion: &Suspicion, now_ms| owner_host(&store, suspicion, service, 77, now_ms);
     let first = choose(&suspicion, 0).expect("an owner");
     suspicion.record_sent(first, 0);
     suspicion.record_sent(first, ANSWER_TIMEOUT_MS);
@@ -111,18 +111,18 @@
     let (a, b) = (host(0), host(1));
     let listed = [a, b];
     let mut path = ReturnPath::default();
-    path.heard(a, 0);
-    path.heard(b, 0);
+    path.record_datagram(a, 0);
+    path.record_datagram(b, 0);
     assert_eq!(path.choose(a, 100, &listed), a, "a live balancer is kept");
-    path.heard(b, 400);
+    path.record_datagram(b, 400);
     assert_eq!(
         path.choose(a, 400, &listed),
         b,
         "the first is silent, the other is not"
     );
-    path.heard(a, 500);
+    path.record_datagram(a, 500);
     assert_eq!(path.choose(a, 500, &listed), a, "the first sends again");
-    path.leaving(a);
+    path.set_leaving(a);
     assert_eq!(path.choose(a, 500, &listed), b, "the first leaves");
     let tried = [
         path.choose(b, 2_000, &listed),
