--- a/src/opaque/forwarder.rs
+++ b/src/opaque/forwarder.rs
@@ -215,7 +215,8 @@
     /// Records the agent that holds a flow.
     pub fn record_holder(&mut self, flow: FlowKey, host: Ipv4Addr, now_ms: u64) {
         let held = self.hints.get_mut(&flow);
-        // An agent that took a late copy of the opener reports it when the flow has opened elsewhere.
+        // An agent that took a late copy of the opener may report itself as the holder after the flow
+        // has opened elsewhere.
         if let Some(hint) = held.filter(|hint| hint.has_opened) {
             hint.last_seen_ms = now_ms;
             return;
