--- a/src/opaque/forwarder.rs
+++ b/src/opaque/forwarder.rs
@@ -179,7 +179,7 @@
     ///
     /// The agent that gets the opener compares its own load with this mean.
     fn mean_load(&mut self, directory: &Directory, flow: &FlowKey, now_ms: u64) -> u16 {
-        let service = directory.service_of(flow);
+        let service = directory.service_for_flow(flow);
         let table = service.and_then(|service| Some((service, directory.table(service)?)));
         table.map_or(UNKNOWN_LOAD_PERMILLE, |(service, table)| {
             self.means
@@ -291,7 +291,7 @@
         now_ms: u64,
     ) -> Result<Ipv4Addr> {
         if let Some(hint) = self.hints.get(flow)
-            && directory.is_current(hint.host)
+            && directory.may_hold_flows(hint.host)
             && !suspicion.is_suspected(hint.host, now_ms)
         {
             return Ok(hint.host);
@@ -317,7 +317,7 @@
     ) -> Result<(Ipv4Addr, bool)> {
         let flow = segment.flow_from_caller();
         if let Some(hint) = self.hints.get_mut(&flow)
-            && directory.is_current(hint.host)
+            && directory.may_hold_flows(hint.host)
         {
             self.metrics.hints_right.inc();
             return Ok((hint.host, hint.record_packet(segment, now_ms)));
--- a/src/opaque/keeper/delivery.rs
+++ b/src/opaque/keeper/delivery.rs
@@ -48,7 +48,7 @@
         }
         let state = self.flows.get(&key).map(|flow| flow.state.clone());
         match state {
-            Some(FlowState::Elsewhere(host)) if scene.directory.is_current(host) => {
+            Some(FlowState::Elsewhere(host)) if scene.directory.may_hold_flows(host) => {
                 let now_ms = scene.now_ms;
                 self.flows
                     .update(&key, now_ms, |flow| flow.last_seen_ms = now_ms);
--- a/tests/opaque/offers.rs
+++ b/tests/opaque/offers.rs
@@ -206,7 +206,7 @@
 #[test]
 fn early_openers_of_an_evacuated_service_are_reset() {
     let mut balancer = Balancer::with_agents(8);
-    balancer.directory.set_evacuated(ZONE, true, 200);
+    balancer.directory.set_zone_evacuated(ZONE, true, 200);
     balancer.receive_early(&flow(1), 0);
     let actions = balancer.offer_early();
     assert!(
--- a/tests/opaque/waiting.rs
+++ b/tests/opaque/waiting.rs
@@ -2,8 +2,8 @@
 //! something fails.
 
 use endivedyke::opaque::{
-    Action, BackendState, FlowKey, Message, MessageKind, ROUTES_HEADER, RouteTable, deadlines,
-    decode_wait_ms,
+    Action, BackendState, FlowKey, Message, MessageKind, ROUTES_HEADER, RouteTable, decode_wait_ms,
+    parse_deadlines,
 };
 
 use crate::builder::{
@@ -20,7 +20,7 @@
 fn agent() -> AgentUnderTest {
     let mut agent = AgentUnderTest::new(3, true);
     let text = format!("{CALLED},{OBJECTIVE_MS},{TIMEOUT_MS}\n");
-    let told = deadlines(&text).expect("sound");
+    let told = parse_deadlines(&text).expect("sound");
     agent.directory.set_deadlines(told);
     agent
 }
@@ -161,7 +161,7 @@
             agent.refuse()
         }),
         ("the zone is evacuated", |agent| {
-            agent.directory.set_evacuated(ZONE, true, 100);
+            agent.directory.set_zone_evacuated(ZONE, true, 100);
             agent.tick_at(agent.now_ms + 20)
         }),
         ("the backend server drains", |agent| {
