--- a/src/opaque/flow_agent/waiting.rs
+++ b/src/opaque/flow_agent/waiting.rs
@@ -324,8 +324,8 @@
         objectives.min()
     }
 
-    /// Empties the queue, because the process stops or the backend server takes no new flows: hands
-    /// all openers on to other agents, and all requests over to the backend server.
+    /// Empties the queue, because the process stops or the backend server is stuck or takes no new
+    /// flows: hands all openers on to other agents, and all requests over to the backend server.
     pub(super) fn flush_queue(&mut self, context: &AgentContext<'_>, actions: &mut Vec<Action>) {
         for waiting in self.wait_queue.take_if(|_| true) {
             let QueuedWork { key, kind } = waiting.item;
@@ -342,9 +342,9 @@
         self.metrics.openers_waiting.set(0);
     }
 
-    /// Refuses openers and drops requests whose wait has reached its limit. A caller that is still
-    /// there sends the request again. A request without a deadline of its route is handed over
-    /// instead.
+    /// Refuses openers that would be served only after their callers have left, and drops requests
+    /// whose callers have left: a caller that is still there sends the request again. A request
+    /// without a deadline of its route has waited long enough and is handed over.
     fn end_expired(&mut self, context: &AgentContext<'_>, actions: &mut Vec<Action>) {
         let is_expired = |waiting: &Waiting<QueuedWork>| waiting.deadline_ms <= context.now_ms;
         for waiting in self.wait_queue.take_if(is_expired) {
