--- a/src/opaque/flow_agent.rs
+++ b/src/opaque/flow_agent.rs
@@ -28,19 +28,21 @@
 use crate::decisions::suspicion::Suspicion;
 use crate::decisions::wait_queue::WaitQueue;
 use crate::error::Result;
-use crate::opaque::finding::flow::Flow;
-use crate::opaque::finding::flow_book::FlowBook;
-use crate::opaque::finding::lookup::Lookups;
 use crate::opaque::flow_agent::waiting::QueuedWork;
-use crate::opaque::openers::cold_rate::ColdRate;
-use crate::opaque::openers::mean_load::{FAILING_LOAD, MeanLoad, RECENT_SPAN_MS, STEADY_SPAN_MS};
+use crate::opaque::flows::flow::Flow;
+use crate::opaque::flows::flow_table::FlowTable;
+use crate::opaque::flows::lookup::Lookups;
+use crate::opaque::openers::cold_rate_limiter::ColdRateLimiter;
+use crate::opaque::openers::mean_load::{
+    FAILING_LOAD_PERMILLE, MeanLoad, RECENT_SPAN_MS, STEADY_SPAN_MS,
+};
 use crate::opaque::openers::recent_outcomes::RecentOutcomes;
 use crate::opaque::packets::action::Action;
-use crate::opaque::packets::message::{Message, MessageKind, UNKNOWN_LOAD};
+use crate::opaque::packets::message::{Message, MessageKind, UNKNOWN_LOAD_PERMILLE};
 use crate::opaque::packets::segment::{FlowKey, WireFormat};
 use crate::opaque::values::directory::Directory;
 use crate::opaque::values::known_balancers::KnownBalancers;
-use crate::opaque::values::own_backend::OwnBackend;
+use crate::opaque::values::local_backend::LocalBackend;
 use crate::process::opaque_metrics::OpaqueMetrics;
 
 /// Timeout for the backend server to answer an opener or to return a packet, in milliseconds. It
@@ -81,7 +83,7 @@
     wire: WireFormat,
     identity: AgentIdentity,
     metrics: OpaqueMetrics,
-    flows: FlowBook,
+    flows: FlowTable,
     /// The load over the last second, which is reported to balancers.
     recent_load: MeanLoad,
     /// The load over ten seconds, by which flows are balanced between agents.
@@ -97,7 +99,7 @@
     /// once.
     was_failing: bool,
     stall_watch: StallWatch<FlowKey>,
-    cold_rate: ColdRate,
+    cold_rate: ColdRateLimiter,
     /// Since when the backend server may be cold although its entry does not show it yet.
     possibly_cold_since_ms: Option<u64>,
     /// Whether its availability zone was evacuated at the last check.
@@ -124,7 +126,7 @@
     /// When the connection to the backend server first broke during its published lifetime.
     disconnected_ms: Option<u64>,
     /// The last published lifetime of the backend server.
-    published_lifetime: Option<OwnBackend>,
+    published_lifetime: Option<LocalBackend>,
     last_backend_packet_ms: u64,
     last_probe_ms: u64,
 }
@@ -141,16 +143,16 @@
             wire,
             identity,
             metrics: metrics.clone(),
-            flows: FlowBook::new(metrics, identity.flow_lifetime_ms),
-            recent_load: MeanLoad::over(RECENT_SPAN_MS),
-            steady_load: MeanLoad::over(STEADY_SPAN_MS),
+            flows: FlowTable::new(metrics, identity.flow_lifetime_ms),
+            recent_load: MeanLoad::new(RECENT_SPAN_MS),
+            steady_load: MeanLoad::new(STEADY_SPAN_MS),
             slot_time: SlotTime::default(),
             shed_at: None,
             wait_queue: WaitQueue::default(),
             outcomes: RecentOutcomes::default(),
             was_failing: false,
             stall_watch: StallWatch::new(),
-            cold_rate: ColdRate::default(),
+            cold_rate: ColdRateLimiter::default(),
             possibly_cold_since_ms: None,
             was_evacuated: false,
             lookups: Lookups::new(metrics),
@@ -173,26 +175,30 @@
 
     /// Returns the number of requests that run or wait at the backend server.
     pub fn busy(&self) -> u32 {
-        self.flows.busy()
+        self.flows.busy_requests()
     }
 
     /// Returns the mean load of the backend server, which balancers use to choose an agent.
     pub fn load_permille(&mut self, context: &AgentContext<'_>) -> u16 {
-        self.recent_load.changed(self.flows.busy(), context.now_ms);
-        self.steady_load.changed(self.flows.busy(), context.now_ms);
+        self.recent_load
+            .update(self.flows.busy_requests(), context.now_ms);
+        self.steady_load
+            .update(self.flows.busy_requests(), context.now_ms);
         self.update_slot_time(context);
         if self.outcomes.is_failing(context.now_ms) || self.is_stalled(context.now_ms) {
             // A server that fails requests at once looks idle, and would attract flows that others
             // could serve.
-            return FAILING_LOAD;
+            return FAILING_LOAD_PERMILLE;
         }
         let slots = self.backend_slots(context);
-        slots.map_or(UNKNOWN_LOAD, |slots| self.recent_load.permille(slots))
+        slots.map_or(UNKNOWN_LOAD_PERMILLE, |slots| {
+            self.recent_load.permille(slots)
+        })
     }
 
     /// Returns the number of flows open at the backend server.
     pub fn open_flows(&self) -> u32 {
-        self.flows.open()
+        self.flows.open_flows()
     }
 
     /// Returns whether this agent knows every flow of its backend server.
@@ -231,7 +237,7 @@
         let mut actions = Vec::new();
         let is_inbound = matches!(message.kind, MessageKind::Deliver | MessageKind::Offer);
         if is_inbound && message.host == from {
-            self.known_balancers.heard(from, context.now_ms);
+            self.known_balancers.record_message(from, context.now_ms);
         }
         match message.kind {
             MessageKind::Deliver | MessageKind::HandOn | MessageKind::Offer => {
@@ -250,7 +256,7 @@
             MessageKind::Absent => {
                 if let Some(key) = FlowKey::from_bytes(payload) {
                     let revision = message.digest.highest;
-                    self.lookups.absent(&key, from, revision);
+                    self.lookups.record_absent(&key, from, revision);
                     self.reset_if_held_nowhere(context, &key, &mut actions);
                 }
             }
@@ -304,10 +310,10 @@
             }
         }
         self.serve_queue(context, &mut actions);
-        for key in self.lookups.flows() {
+        for key in self.lookups.pending_flows() {
             self.reset_if_held_nowhere(context, &key, &mut actions);
         }
-        for (host, packet) in self.lookups.due(context.directory, context.now_ms) {
+        for (host, packet) in self.lookups.due_queries(context.directory, context.now_ms) {
             let message = Message::new(MessageKind::Find);
             actions.push(Action::ToPeer(host, message, packet));
         }
@@ -340,7 +346,10 @@
         let inserted = self.flows.insert(key, flow, now_ms);
         if !inserted {
             self.knows_all_flows = false;
-            log::warn!("event=flows_full flow={key} open={}", self.flows.open());
+            log::warn!(
+                "event=flows_full flow={key} open={}",
+                self.flows.open_flows()
+            );
         }
         inserted
     }
--- a/src/opaque/flow_agent/backend_packets.rs
+++ b/src/opaque/flow_agent/backend_packets.rs
@@ -2,9 +2,9 @@
 
 use std::net::Ipv4Addr;
 
-use crate::opaque::finding::flow::{Flow, Holding, Origin, Running};
 use crate::opaque::flow_agent::stall::may_continue;
 use crate::opaque::flow_agent::{AgentContext, BACKEND_TIMEOUT_MS, FlowAgent, send_to_peer};
+use crate::opaque::flows::flow::{Flow, FlowState, PacketSource, RunningRequest};
 use crate::opaque::packets::action::Action;
 use crate::opaque::packets::message::MessageKind;
 use crate::opaque::packets::segment::{FlowKey, Segment};
@@ -57,17 +57,17 @@
         let Some(flow) = self.flows.get(&key) else {
             return;
         };
-        match flow.holding.clone() {
-            Holding::Opening(opening) => {
+        match flow.state.clone() {
+            FlowState::Opening(opening) => {
                 self.flows.remove(&key, context.now_ms);
                 self.hand_on(context, &key, opening, actions);
             }
             // A late copy of an opener whose flow has already opened, here or elsewhere.
             _ if segment.opens => {}
-            holding => {
+            state => {
                 self.stall_watch.withdrawn(key);
                 let lost = self.flows.update(&key, context.now_ms, |flow| {
-                    flow.holding = Holding::Absent;
+                    flow.state = FlowState::Absent;
                     flow.running.take()
                 });
                 if let Some(running) = lost.flatten() {
@@ -75,15 +75,15 @@
                     let id = running.id;
                     log::warn!("event=request_lost request={id} flow={key} reason=flow_not_held");
                 }
-                match holding {
-                    Holding::Unconfirmed {
-                        origin: Origin::Asker(asker),
+                match state {
+                    FlowState::Unconfirmed {
+                        source: PacketSource::AskingAgent(asker),
                         ..
                     } => send_to_peer(MessageKind::Absent, &key, asker, actions),
                     // The flow opened here and nowhere else, and ended with the backend server's
                     // process.
-                    Holding::Unconfirmed {
-                        origin: Origin::OpenedHere,
+                    FlowState::Unconfirmed {
+                        source: PacketSource::BalancerKnowsOpened,
                         ..
                     } => {
                         self.metrics.ends_proved_by_backend.inc();
@@ -113,10 +113,10 @@
         let acknowledged = tracks_acknowledged.then_some(segment.acknowledgement);
         if self.flows.get(&key).is_none() {
             if !segment.resets && !segment.accepts {
-                let mut flow = Flow::new(Holding::Open, now_ms);
-                flow.acknowledged = acknowledged;
+                let mut flow = Flow::new(FlowState::Open, now_ms);
+                flow.backend_acknowledgement = acknowledged;
                 flow.caller_acknowledgement = segment.sequence;
-                flow.shown = true;
+                flow.is_confirmed = true;
                 self.insert_flow(key, flow, now_ms);
             }
             if segment.payload_bytes > 0 {
@@ -126,30 +126,30 @@
         }
         let disconnected_ms = self.disconnected_ms;
         let answered = self.flows.update(&key, now_ms, |flow| {
-            flow.seen_ms = now_ms;
-            let was_shown = flow.shown;
-            flow.shown |= !segment.accepts;
+            flow.last_seen_ms = now_ms;
+            let was_shown = flow.is_confirmed;
+            flow.is_confirmed |= !segment.accepts;
             if let Some(next) = acknowledged {
-                flow.note_acknowledged(next);
+                flow.record_acknowledgement(next);
             }
-            match &mut flow.holding {
-                Holding::Opening(opening) if segment.accepts => {
-                    opening.answered = true;
+            match &mut flow.state {
+                FlowState::Opening(opening) if segment.accepts => {
+                    opening.is_answered = true;
                     opening.backend_sequence = segment.sequence;
                 }
-                Holding::Opening(_) | Holding::Open => {}
-                holding => *holding = Holding::Open,
+                FlowState::Opening(_) | FlowState::Open => {}
+                state => *state = FlowState::Open,
             }
-            flow.closed |= segment.ends || segment.resets;
+            flow.is_closed |= segment.ends || segment.resets;
             let survived_disconnect =
                 disconnected_ms.is_some_and(|disconnected_ms| flow.since_ms < disconnected_ms);
-            let seen = flow.backend_next;
-            let begins_answer = flow.takes_answer(segment);
-            let has_new_data = segment.payload_bytes > 0 && flow.backend_next != seen;
+            let seen = flow.backend_next_sequence;
+            let begins_answer = flow.record_answer(segment);
+            let has_new_data = segment.payload_bytes > 0 && flow.backend_next_sequence != seen;
             if has_new_data {
-                flow.answer_goes_on = may_continue(segment);
+                flow.may_continue_answer = may_continue(segment);
             }
-            let running = flow.running.take_if(|_| begins_answer || flow.closed);
+            let running = flow.running.take_if(|_| begins_answer || flow.is_closed);
             let end = match (begins_answer, has_deadline) {
                 (true, _) => None,
                 (false, true) => Some(unanswered_end(flow, segment, was_shown)),
@@ -191,7 +191,7 @@
     fn record_lost_request(
         &mut self,
         key: &FlowKey,
-        running: &Running,
+        running: &RunningRequest,
         end: UnansweredEnd,
         now_ms: u64,
     ) {
@@ -212,7 +212,7 @@
         &mut self,
         context: &AgentContext<'_>,
         key: &FlowKey,
-        running: &Running,
+        running: &RunningRequest,
         status: Option<u16>,
     ) {
         let now_ms = context.now_ms;
@@ -224,7 +224,7 @@
             // Counted as failures, these refusals would mark a full server as failing during a
             // rush, and it would be left idle once it has room again.
             self.metrics.requests_shed.inc();
-            let busy = self.flows.busy();
+            let busy = self.flows.busy_requests();
             let least = self
                 .recent_shed_at(now_ms)
                 .map_or(busy, |least| least.min(busy));
@@ -242,7 +242,7 @@
                 "event=request_answered request={} flow={key} status={} took_ms={took_ms} busy={}",
                 running.id,
                 status.map_or_else(|| "unknown".to_owned(), |status| status.to_string()),
-                self.flows.busy()
+                self.flows.busy_requests()
             );
         }
     }
@@ -257,8 +257,8 @@
         let Some(flow) = self.flows.get(key) else {
             return true;
         };
-        match flow.holding.clone() {
-            Holding::Opening(opening) if !opening.answered => {
+        match flow.state.clone() {
+            FlowState::Opening(opening) if !opening.is_answered => {
                 if context.now_ms < opening.since_ms + BACKEND_TIMEOUT_MS {
                     return false;
                 }
@@ -268,13 +268,13 @@
                 }
                 self.hand_on(context, key, opening, actions);
             }
-            Holding::Unconfirmed { since_ms, origin } => {
+            FlowState::Unconfirmed { since_ms, source } => {
                 if context.now_ms < since_ms + BACKEND_TIMEOUT_MS {
                     return false;
                 }
                 self.flows
-                    .update(key, context.now_ms, |flow| flow.holding = Holding::Open);
-                if let Origin::Asker(asker) = origin {
+                    .update(key, context.now_ms, |flow| flow.state = FlowState::Open);
+                if let PacketSource::AskingAgent(asker) = source {
                     send_to_peer(MessageKind::Found, key, asker, actions);
                 }
             }
@@ -291,7 +291,7 @@
 /// from before the restart are reset. Counted as failures, both would take a backend server out of
 /// rotation that has just come back.
 fn unanswered_end(flow: &Flow, segment: &Segment, was_shown: bool) -> UnansweredEnd {
-    if flow.caller_left {
+    if flow.has_caller_left {
         UnansweredEnd::CallerLeft
     } else if segment.resets && !was_shown {
         UnansweredEnd::FromBefore
--- a/src/opaque/flow_agent/backend_process.rs
+++ b/src/opaque/flow_agent/backend_process.rs
@@ -3,8 +3,8 @@
 
 use crate::code::Code;
 use crate::decisions::service_time::SlotTime;
-use crate::opaque::finding::remains::Remains;
 use crate::opaque::flow_agent::{AgentContext, FlowAgent};
+use crate::opaque::flows::orphaned_flows::OrphanedFlows;
 use crate::opaque::openers::recent_outcomes::RecentOutcomes;
 use crate::opaque::packets::action::Action;
 use crate::opaque::values::directory::Directory;
@@ -25,7 +25,7 @@
     /// Its entry may have lapsed while the platform's service was unavailable, or another program
     /// may have overwritten it. A process that starts then finds no usable entry.
     pub fn is_backend_unlisted(&self, directory: &Directory) -> bool {
-        let own = directory.own(self.identity.backend);
+        let own = directory.local_backend(self.identity.backend);
         self.is_listening && own.is_none_or(|own| own.is_gone || !own.is_usable)
     }
 
@@ -42,7 +42,7 @@
     pub fn handle_backend_refused(&mut self, context: &AgentContext<'_>) -> Vec<Action> {
         self.is_refusing = true;
         self.is_listening = false;
-        let own = context.directory.own(self.identity.backend);
+        let own = context.directory.local_backend(self.identity.backend);
         if own.is_some_and(|own| !own.takes_flows) {
             return Vec::new();
         }
@@ -71,7 +71,7 @@
     /// seem open are gone.
     pub fn leave(&mut self, context: &AgentContext<'_>) -> Vec<Action> {
         self.is_leaving = true;
-        let own = context.directory.own(self.identity.backend);
+        let own = context.directory.local_backend(self.identity.backend);
         let is_gone = own.is_some_and(|own| own.is_gone && !own.takes_flows);
         let is_quiet = context.now_ms >= self.last_backend_packet_ms + QUIET_MS;
         let mut actions = Vec::new();
@@ -90,26 +90,26 @@
             return Vec::new();
         }
         // All flows up to now belong to the process that has ended.
-        let remains = self.flows.take_remains(u64::MAX, context.now_ms);
+        let orphaned = self.flows.take_orphaned(u64::MAX, context.now_ms);
         self.pending_flows.clear();
         self.stall_watch.forget();
         self.forget_slot_times();
         log::info!(
             "event=backend_ended flows={} openers={} last_packet_ms_ago={} revision={}",
-            remains.flows.len(),
-            remains.openers.len(),
+            orphaned.flows.len(),
+            orphaned.openers.len(),
             context.now_ms.saturating_sub(self.last_backend_packet_ms),
             context.revision
         );
-        let mut actions = self.reset_remains(context, remains);
+        let mut actions = self.reset_remains(context, orphaned);
         self.flush_queue(context, &mut actions);
         actions
     }
 
     /// Resets the remaining flows of an ended process, and hands its openers on to other agents.
-    fn reset_remains(&self, context: &AgentContext<'_>, remains: Remains) -> Vec<Action> {
+    fn reset_remains(&self, context: &AgentContext<'_>, orphaned: OrphanedFlows) -> Vec<Action> {
         let mut actions = Vec::new();
-        for ended in remains.flows {
+        for ended in orphaned.flows {
             self.reset_flow(
                 &ended.key,
                 ended.acknowledgement,
@@ -117,7 +117,7 @@
                 &mut actions,
             );
         }
-        for (key, opening) in remains.openers {
+        for (key, opening) in orphaned.openers {
             self.hand_on(context, &key, opening, &mut actions);
         }
         actions
@@ -137,7 +137,7 @@
     /// callers waiting whose requests it had acknowledged: they send nothing more that could be
     /// returned.
     pub fn handle_published_change(&mut self, context: &AgentContext<'_>) -> Vec<Action> {
-        let Some(own) = context.directory.own(self.identity.backend) else {
+        let Some(own) = context.directory.local_backend(self.identity.backend) else {
             return Vec::new();
         };
         if std::mem::replace(&mut self.was_evacuated, own.is_evacuated) && !own.is_evacuated {
@@ -153,15 +153,15 @@
         let Some(disconnected_ms) = self.disconnected_ms.take() else {
             return Vec::new();
         };
-        let remains = self.flows.take_remains(disconnected_ms, context.now_ms);
+        let orphaned = self.flows.take_orphaned(disconnected_ms, context.now_ms);
         log::info!(
             "event=backend_restarted flows={} openers={} broke_ms_ago={} revision={}",
-            remains.flows.len(),
-            remains.openers.len(),
+            orphaned.flows.len(),
+            orphaned.openers.len(),
             context.now_ms.saturating_sub(disconnected_ms),
             context.revision
         );
-        self.reset_remains(context, remains)
+        self.reset_remains(context, orphaned)
     }
 
     /// Clears the outcomes of the previous lifetime. A process that has just started has not failed
@@ -183,19 +183,19 @@
 
     /// Records that a request failed at the backend server.
     pub(super) fn record_failed(&mut self, now_ms: u64) {
-        self.outcomes.note_failed(now_ms);
+        self.outcomes.record_failed(now_ms);
         let is_failing = self.outcomes.is_failing(now_ms);
         if is_failing && !std::mem::replace(&mut self.was_failing, true) {
-            log::warn!("event=backend_fails busy={}", self.flows.busy());
+            log::warn!("event=backend_fails busy={}", self.flows.busy_requests());
         }
     }
 
     /// Records that the backend server answered a request.
     pub(super) fn record_served(&mut self, now_ms: u64) {
-        self.outcomes.note_served(now_ms);
+        self.outcomes.record_served(now_ms);
         if self.was_failing && !self.outcomes.is_failing(now_ms) {
             self.was_failing = false;
-            log::warn!("event=backend_serves busy={}", self.flows.busy());
+            log::warn!("event=backend_serves busy={}", self.flows.busy_requests());
         }
     }
 }
--- a/src/opaque/flow_agent/balancer_messages.rs
+++ b/src/opaque/flow_agent/balancer_messages.rs
@@ -32,7 +32,7 @@
         let own = self.identity.host;
         let quiet = self
             .known_balancers
-            .due_greetings(own, agents, seeds, context.now_ms);
+            .balancers_to_greet(own, agents, seeds, context.now_ms);
         let greeting = Message::new(MessageKind::Greeting);
         let greetings = quiet.into_iter();
         greetings
--- a/src/opaque/flow_agent/declines.rs
+++ b/src/opaque/flow_agent/declines.rs
@@ -9,10 +9,10 @@
 use std::net::Ipv4Addr;
 
 use crate::decisions::offers::TAKES_NONE_MS;
-use crate::opaque::finding::flow::Opening;
 use crate::opaque::flow_agent::{AgentContext, FlowAgent, send_to_peer};
+use crate::opaque::flows::flow::PendingOpener;
 use crate::opaque::packets::action::Action;
-use crate::opaque::packets::message::{Message, MessageKind, UNKNOWN_LOAD};
+use crate::opaque::packets::message::{Message, MessageKind, UNKNOWN_LOAD_PERMILLE};
 use crate::opaque::packets::segment::FlowKey;
 
 /// How far above the mean load an agent must be to decline openers, as a fraction of the mean. For
@@ -46,13 +46,13 @@
     pub(super) fn should_decline(
         &self,
         context: &AgentContext<'_>,
-        opening: &Opening,
+        opening: &PendingOpener,
         message: &Message,
     ) -> bool {
         let is_fresh = opening.copy == 0 && opening.waited_ms == 0;
         let from_balancer = matches!(message.kind, MessageKind::Deliver | MessageKind::Offer);
         let may_decline = from_balancer && is_fresh;
-        if !may_decline || message.load_permille == UNKNOWN_LOAD {
+        if !may_decline || message.load_permille == UNKNOWN_LOAD_PERMILLE {
             return false;
         }
         let mean = f64::from(message.load_permille);
@@ -68,7 +68,7 @@
         context: &AgentContext<'_>,
         message: &Message,
     ) -> bool {
-        self.expected_wait_ms(context) <= message.most_wait_ms
+        self.expected_wait_ms(context) <= message.max_wait_ms
     }
 
     /// Declines an opener, which its balancer then offers elsewhere.
@@ -88,9 +88,10 @@
         };
         log::info!(
             "event=opener_declined flow={key} reason={reason:?} wait_ms={wait_ms} busy={} slots={} load_permille={} mean_permille={} revision={}",
-            self.flows.busy(),
+            self.flows.busy_requests(),
             self.backend_slots(context).unwrap_or_default(),
-            self.steady_load_permille(context).unwrap_or(UNKNOWN_LOAD),
+            self.steady_load_permille(context)
+                .unwrap_or(UNKNOWN_LOAD_PERMILLE),
             message.load_permille,
             context.revision
         );
@@ -135,7 +136,7 @@
             message.host = self.identity.host;
             let mut permille = self.steady_load_permille(context);
             if wait_ms.is_some() {
-                permille.get_or_insert(UNKNOWN_LOAD);
+                permille.get_or_insert(UNKNOWN_LOAD_PERMILLE);
             }
             let words = permille.into_iter().chain(wait_ms);
             payload.extend(words.flat_map(u16::to_be_bytes));
@@ -146,6 +147,6 @@
     /// thousandths, once enough time was measured.
     fn steady_load_permille(&self, context: &AgentContext<'_>) -> Option<u16> {
         let slots = self.backend_slots(context)?;
-        self.steady_load.permille_since_begun(slots)
+        self.steady_load.permille_since_start(slots)
     }
 }
--- a/src/opaque/flow_agent/delivery.rs
+++ b/src/opaque/flow_agent/delivery.rs
@@ -4,8 +4,10 @@
 use std::net::Ipv4Addr;
 
 use crate::config::deadlines::Deadline;
-use crate::opaque::finding::flow::{ABANDONED_MS, Flow, Holding, Origin, Running};
 use crate::opaque::flow_agent::{AgentContext, FlowAgent, send_holds, send_to_balancer};
+use crate::opaque::flows::flow::{
+    Flow, FlowState, PacketSource, REQUEST_BUSY_TIMEOUT_MS, RunningRequest,
+};
 use crate::opaque::packets::action::Action;
 use crate::opaque::packets::message::{Message, MessageKind};
 use crate::opaque::packets::segment::{FlowKey, Segment};
@@ -46,12 +48,12 @@
             }
             return;
         }
-        let holding = self.flows.get(&key).map(|flow| flow.holding.clone());
-        match holding {
-            Some(Holding::Elsewhere(host)) if context.directory.is_current(host) => {
+        let state = self.flows.get(&key).map(|flow| flow.state.clone());
+        match state {
+            Some(FlowState::Elsewhere(host)) if context.directory.may_hold_flows(host) => {
                 let now_ms = context.now_ms;
                 self.flows
-                    .update(&key, now_ms, |flow| flow.seen_ms = now_ms);
+                    .update(&key, now_ms, |flow| flow.last_seen_ms = now_ms);
                 let message = Message::new(MessageKind::Deliver);
                 send_holds(&key, balancer, host, actions);
                 actions.push(Action::ToPeer(host, message, packet.to_vec()));
@@ -59,10 +61,16 @@
             // If the backend server returns the packet, the flow has ended, and no lookup is
             // needed.
             _ if message.has_opened => {
-                self.try_backend(context, segment, packet, Origin::OpenedHere, actions);
+                self.try_backend(
+                    context,
+                    segment,
+                    packet,
+                    PacketSource::BalancerKnowsOpened,
+                    actions,
+                );
             }
             None if !self.knows_all_flows => {
-                self.try_backend(context, segment, packet, Origin::Balancer, actions);
+                self.try_backend(context, segment, packet, PacketSource::Balancer, actions);
             }
             _ => self.start_lookup(context, segment, packet, balancer, actions),
         }
@@ -84,26 +92,28 @@
         let deadline = context.directory.deadline(key.called);
         let counts_ms = busy_timeout_ms(deadline);
         let delivery = self.flows.update(&key, now_ms, |flow| {
-            let was_open = flow.holding == Holding::Open;
+            let was_open = flow.state == FlowState::Open;
             if !confirm_held(flow, segment) {
                 return Delivery::NotHeld;
             }
-            flow.seen_ms = now_ms;
+            flow.last_seen_ms = now_ms;
             flow.caller_acknowledgement = segment.acknowledgement;
-            flow.caller_left |= segment.is_bare_end() && flow.running.is_some();
+            flow.has_caller_left |= segment.ends_without_data() && flow.running.is_some();
             if segment.resets && deadline.is_some() {
                 // The caller has left, and the request needs no answer.
                 flow.running = None;
             }
             // A retransmitted packet is not a new request, even if the answer has already begun.
-            if !flow.takes_new_data(segment) {
+            if !flow.record_new_data(segment) {
                 return Delivery::NoNewData;
             }
-            flow.mixes_requests |= flow.running.is_some();
+            flow.has_ambiguous_requests |= flow.running.is_some();
             match &mut flow.running {
                 Some(running) => running.since_ms = now_ms,
                 None if must_hold_back && was_open => return Delivery::HeldBack,
-                None => flow.running = Some(Running::new(request_id(packet), counts_ms, now_ms)),
+                None => {
+                    flow.running = Some(RunningRequest::new(request_id(packet), counts_ms, now_ms))
+                }
             }
             Delivery::HandedOver
         });
@@ -131,12 +141,12 @@
     ) {
         let now_ms = context.now_ms;
         let is_due = self.flows.update(key, now_ms, |flow| {
-            let was_sent = flow.told_opened.is_some_and(|(host, sent_ms)| {
+            let was_sent = flow.last_opened_notice.is_some_and(|(host, sent_ms)| {
                 host == balancer && now_ms < sent_ms + OPENED_RESEND_MS
             });
             let is_due = flow.has_opened() && !was_sent;
             if is_due {
-                flow.told_opened = Some((balancer, now_ms));
+                flow.last_opened_notice = Some((balancer, now_ms));
             }
             is_due
         });
@@ -155,15 +165,15 @@
         context: &AgentContext<'_>,
         segment: &Segment,
         packet: &[u8],
-        origin: Origin,
+        source: PacketSource,
         actions: &mut Vec<Action>,
     ) {
         let key = segment.flow_from_caller();
-        let holding = Holding::Unconfirmed {
+        let state = FlowState::Unconfirmed {
             since_ms: context.now_ms,
-            origin,
+            source,
         };
-        let mut flow = Flow::new(holding, context.now_ms);
+        let mut flow = Flow::new(state, context.now_ms);
         flow.caller_acknowledgement = segment.acknowledgement;
         if self.insert_flow(key, flow, context.now_ms) {
             self.pending_flows.push(key);
@@ -175,7 +185,9 @@
 /// Returns how long a request without an answer counts as busy, in milliseconds: the caller's
 /// timeout, where it is known.
 pub(super) fn busy_timeout_ms(deadline: Option<Deadline>) -> u64 {
-    deadline.map_or(ABANDONED_MS, |deadline| deadline.timeout_ms.into())
+    deadline.map_or(REQUEST_BUSY_TIMEOUT_MS, |deadline| {
+        deadline.timeout_ms.into()
+    })
 }
 
 /// Returns whether a caller's packet belongs to a flow that is held here, and marks the flow as
@@ -183,20 +195,20 @@
 ///
 /// The caller opens the flow at the backend server whose sequence number it acknowledges first.
 fn confirm_held(flow: &mut Flow, segment: &Segment) -> bool {
-    match &flow.holding {
-        Holding::Open | Holding::Unconfirmed { .. } => true,
-        Holding::Elsewhere(_) | Holding::Absent => false,
-        Holding::Opening(opening) => {
+    match &flow.state {
+        FlowState::Open | FlowState::Unconfirmed { .. } => true,
+        FlowState::Elsewhere(_) | FlowState::Absent => false,
+        FlowState::Opening(opening) => {
             let is_chosen = segment
                 .acknowledgement
                 .wrapping_sub(opening.backend_sequence)
                 <= 1;
-            if opening.answered && !is_chosen {
-                flow.holding = Holding::Absent;
+            if opening.is_answered && !is_chosen {
+                flow.state = FlowState::Absent;
                 return false;
             }
-            flow.shown = opening.answered;
-            flow.holding = Holding::Open;
+            flow.is_confirmed = opening.is_answered;
+            flow.state = FlowState::Open;
             true
         }
     }
--- a/src/opaque/flow_agent/hand_on.rs
+++ b/src/opaque/flow_agent/hand_on.rs
@@ -3,10 +3,10 @@
 use std::net::Ipv4Addr;
 
 use crate::code::Code;
-use crate::opaque::finding::flow::Opening;
 use crate::opaque::flow_agent::opener_limits::LAST_COPY;
 use crate::opaque::flow_agent::openers::NotTakenReason;
 use crate::opaque::flow_agent::{AgentContext, FlowAgent};
+use crate::opaque::flows::flow::PendingOpener;
 use crate::opaque::openers::opener_order::{next_host, next_warm_host};
 use crate::opaque::packets::action::Action;
 use crate::opaque::packets::message::{Message, MessageKind};
@@ -28,7 +28,7 @@
         &self,
         context: &AgentContext<'_>,
         key: &FlowKey,
-        opening: Opening,
+        opening: PendingOpener,
         actions: &mut Vec<Action>,
     ) {
         let next = next_host(context, self.identity.host, key, opening.hops, MAX_HOPS);
@@ -58,7 +58,7 @@
         &self,
         context: &AgentContext<'_>,
         key: &FlowKey,
-        opening: Opening,
+        opening: PendingOpener,
         next: Option<Ipv4Addr>,
         actions: &mut Vec<Action>,
     ) {
--- a/src/opaque/flow_agent/held_back_requests.rs
+++ b/src/opaque/flow_agent/held_back_requests.rs
@@ -6,10 +6,10 @@
 //! none is refused. A held-back request is handed over whole and in order while its caller still
 //! waits. See docs/design/waiting-openers.md.
 
-use crate::opaque::finding::flow::{Holding, Running, is_after};
 use crate::opaque::flow_agent::delivery::busy_timeout_ms;
 use crate::opaque::flow_agent::waiting::{QueuedKind, QueuedWork, queue_entry};
 use crate::opaque::flow_agent::{AgentContext, FlowAgent};
+use crate::opaque::flows::flow::{FlowState, RunningRequest, is_after};
 use crate::opaque::packets::action::Action;
 use crate::opaque::packets::segment::{FlowKey, Segment};
 
@@ -37,7 +37,7 @@
             return false;
         }
         let max_busy = self.max_handed_over(slots, deadline.objective_ms, context.now_ms);
-        let is_full = f64::from(self.flows.busy_now(context.now_ms)) >= max_busy;
+        let is_full = f64::from(self.flows.fresh_busy_requests(context.now_ms)) >= max_busy;
         // The published entries are searched only if there is no room, and not for each packet.
         is_full && self.check_takes_new_flows(context).is_ok()
     }
@@ -126,18 +126,22 @@
                 "event=request_dequeued request={} flow={key} waited_ms={waited_ms} waiting={} busy={}",
                 id.as_deref().unwrap_or("unknown"),
                 self.wait_queue.len(),
-                self.flows.busy()
+                self.flows.busy_requests()
             );
         }
         let counts_ms = busy_timeout_ms(context.directory.deadline(key.called));
         let decode = self.wire.decode;
         let segments = packets.iter().filter_map(|packet| decode(packet).ok());
         let segments: Vec<Segment> = segments.collect();
-        let caller_left = segments.iter().any(Segment::is_bare_end);
+        let caller_left = segments.iter().any(Segment::ends_without_data);
         self.flows.update(key, context.now_ms, |flow| {
-            flow.caller_left |= caller_left;
-            if flow.holding == Holding::Open && flow.running.is_none() {
-                flow.running = Some(Running::new(id.as_deref(), counts_ms, context.now_ms));
+            flow.has_caller_left |= caller_left;
+            if flow.state == FlowState::Open && flow.running.is_none() {
+                flow.running = Some(RunningRequest::new(
+                    id.as_deref(),
+                    counts_ms,
+                    context.now_ms,
+                ));
             }
         });
         for segment in &segments {
--- a/src/opaque/flow_agent/lookups.rs
+++ b/src/opaque/flow_agent/lookups.rs
@@ -3,10 +3,10 @@
 use std::net::Ipv4Addr;
 
 use crate::code::Code;
-use crate::opaque::finding::flow::{Flow, Holding, Origin};
-use crate::opaque::finding::lookup::{FIRST_ASKED, Question, Verdict};
 use crate::opaque::flow_agent::{AgentContext, FlowAgent, send_holds, send_to_peer};
-use crate::opaque::openers::opener_order::likely_hosts;
+use crate::opaque::flows::flow::{Flow, FlowState, PacketSource};
+use crate::opaque::flows::lookup::{FIRST_QUERIED, LookupOutcome, LookupPacket};
+use crate::opaque::openers::opener_order::likely_holders;
 use crate::opaque::packets::action::Action;
 use crate::opaque::packets::message::{Message, MessageKind};
 use crate::opaque::packets::segment::{FlowKey, Segment};
@@ -25,8 +25,8 @@
             return;
         }
         let own = self.identity.host;
-        let likely = || likely_hosts(context, own, &segment.flow_from_caller(), FIRST_ASKED);
-        let question = Question {
+        let likely = || likely_holders(context, own, &segment.flow_from_caller(), FIRST_QUERIED);
+        let question = LookupPacket {
             segment,
             packet,
             balancer,
@@ -56,7 +56,13 @@
             return;
         }
         if self.flows.get(&key).is_none() && !self.knows_all_flows && self.is_backend_up {
-            self.try_backend(context, segment, packet, Origin::Asker(asker), actions);
+            self.try_backend(
+                context,
+                segment,
+                packet,
+                PacketSource::AskingAgent(asker),
+                actions,
+            );
         } else {
             send_to_peer(MessageKind::Absent, &key, asker, actions);
         }
@@ -73,12 +79,12 @@
         let Some(key) = FlowKey::from_bytes(payload) else {
             return;
         };
-        let Some(lookup) = self.lookups.found(&key) else {
+        let Some(lookup) = self.lookups.finish(&key) else {
             return;
         };
         log::info!("event=flow_found flow={key} host={from}");
         send_holds(&key, lookup.balancer, from, actions);
-        let flow = Flow::new(Holding::Elsewhere(from), context.now_ms);
+        let flow = Flow::new(FlowState::Elsewhere(from), context.now_ms);
         self.insert_flow(key, flow, context.now_ms);
     }
 
@@ -94,9 +100,9 @@
         }
         let verdict = self
             .lookups
-            .verdict(key, context.directory, context.revision);
-        if let Verdict::Nowhere { acknowledgement } = verdict {
-            let waited_ms = self.lookups.open_for_ms(key, context.now_ms);
+            .outcome(key, context.directory, context.revision);
+        if let LookupOutcome::NotHeld { acknowledgement } = verdict {
+            let waited_ms = self.lookups.age_ms(key, context.now_ms);
             self.reset_gone_flow(context, key, acknowledgement, waited_ms, actions);
         }
     }
@@ -111,7 +117,7 @@
         waited_ms: u64,
         actions: &mut Vec<Action>,
     ) {
-        self.lookups.forget(key);
+        self.lookups.cancel(key);
         let route = context.directory.routes().get(key.called);
         if route.is_some_and(|route| route.repeatable) {
             self.send_attempt_failed(context, key, waited_ms, actions);
--- a/src/opaque/flow_agent/opener_checks.rs
+++ b/src/opaque/flow_agent/opener_checks.rs
@@ -1,10 +1,10 @@
 //! Checks whether the backend server may be handed a new flow.
 
-use crate::opaque::finding::flow::Opening;
 use crate::opaque::flow_agent::hand_on::MAX_HOPS;
 use crate::opaque::flow_agent::opener_limits::OpenerLimits;
 use crate::opaque::flow_agent::openers::NotTakenReason;
 use crate::opaque::flow_agent::{AgentContext, FlowAgent};
+use crate::opaque::flows::flow::PendingOpener;
 use crate::opaque::openers::opener_order::next_host;
 use crate::opaque::packets::segment::FlowKey;
 
@@ -21,11 +21,11 @@
         &mut self,
         context: &AgentContext<'_>,
         key: &FlowKey,
-        opening: &Opening,
+        opening: &PendingOpener,
         limits: &OpenerLimits,
     ) -> Result<(), NotTakenReason> {
         self.check_running()?;
-        if context.directory.service_of(key) != Some(self.identity.service) {
+        if context.directory.service_for_flow(key) != Some(self.identity.service) {
             return Err(NotTakenReason::OtherService);
         }
         self.check_published(context)?;
@@ -50,8 +50,8 @@
             return self.try_probe(context, NotTakenReason::Failing);
         }
         let busy = match limits.deadline {
-            Some(_) => self.flows.busy_now(context.now_ms),
-            None => self.flows.busy(),
+            Some(_) => self.flows.fresh_busy_requests(context.now_ms),
+            None => self.flows.busy_requests(),
         };
         if limits
             .max_busy
@@ -87,7 +87,7 @@
     }
 
     fn check_published(&self, context: &AgentContext<'_>) -> Result<(), NotTakenReason> {
-        let published = context.directory.own(self.identity.backend);
+        let published = context.directory.local_backend(self.identity.backend);
         let published = published.filter(|own| own.service == self.identity.service);
         if !published.is_some_and(|own| own.takes_flows) {
             return Err(NotTakenReason::NotPublished);
@@ -101,7 +101,7 @@
     /// Returns whether the backend server is warm, or may be handed one more flow while it is cold.
     pub(super) fn has_cold_rate_room(&mut self, context: &AgentContext<'_>) -> bool {
         let flows_per_s = self.cold_flows_per_s(context);
-        flows_per_s.is_none_or(|flows_per_s| self.cold_rate.has_room(flows_per_s, context.now_ms))
+        flows_per_s.is_none_or(|flows_per_s| self.cold_rate.has_token(flows_per_s, context.now_ms))
     }
 
     /// Returns whether an opener should rather go to an agent that has not had it yet.
@@ -109,7 +109,7 @@
         &self,
         context: &AgentContext<'_>,
         key: &FlowKey,
-        opening: &Opening,
+        opening: &PendingOpener,
     ) -> bool {
         let hops = opening.hops;
         let next = next_host(context, self.identity.host, key, hops, MAX_HOPS);
--- a/src/opaque/flow_agent/opener_limits.rs
+++ b/src/opaque/flow_agent/opener_limits.rs
@@ -1,8 +1,8 @@
 //! The number of busy requests up to which a backend server takes another opener.
 
 use crate::config::deadlines::{Deadline, UNANSWERED_ATTEMPT_MS};
-use crate::opaque::finding::flow::Opening;
 use crate::opaque::flow_agent::{AgentContext, FlowAgent};
+use crate::opaque::flows::flow::PendingOpener;
 use crate::opaque::packets::message::MessageKind;
 use crate::opaque::packets::segment::FlowKey;
 
@@ -48,7 +48,7 @@
     pub(super) deadline: Option<Deadline>,
 }
 
-impl Opening {
+impl PendingOpener {
     /// Returns how long the caller has waited, in milliseconds.
     pub(super) fn age_ms(&self) -> u64 {
         self.copy_age_ms() + u64::from(self.waited_ms)
@@ -72,7 +72,7 @@
         &self,
         context: &AgentContext<'_>,
         key: &FlowKey,
-        opening: &Opening,
+        opening: &PendingOpener,
         kind: MessageKind,
     ) -> OpenerLimits {
         let is_cold = self.is_cold(context);
@@ -119,7 +119,7 @@
 
     /// Returns whether the backend server is published as cold.
     fn is_cold(&self, context: &AgentContext<'_>) -> bool {
-        let published = context.directory.own(self.identity.backend);
+        let published = context.directory.local_backend(self.identity.backend);
         published.is_some_and(|own| context.now_ms < own.cold_until_ms)
     }
 }
--- a/src/opaque/flow_agent/openers.rs
+++ b/src/opaque/flow_agent/openers.rs
@@ -1,10 +1,12 @@
 //! Handling of openers: taking, queueing, declining, refusing, or handing them on.
 
 use crate::config::deadlines::Deadline;
-use crate::opaque::finding::flow::{EXPECTED_MS, EXPECTED_SOON_MS, Flow, Holding, Opening};
 use crate::opaque::flow_agent::declines::DeclineReason;
 use crate::opaque::flow_agent::opener_limits::OpenerLimits;
 use crate::opaque::flow_agent::{AgentContext, FlowAgent, send_holds, send_to_peer};
+use crate::opaque::flows::flow::{
+    DEADLINE_OPENER_BUSY_TIMEOUT_MS, Flow, FlowState, OPENER_BUSY_TIMEOUT_MS, PendingOpener,
+};
 use crate::opaque::packets::action::Action;
 use crate::opaque::packets::message::{Message, MessageKind};
 use crate::opaque::packets::segment::{FlowKey, Segment};
@@ -118,8 +120,8 @@
         message: &Message,
         actions: &mut Vec<Action>,
     ) -> bool {
-        let known = self.flows.get(key).map(|flow| &flow.holding);
-        let is_handed_over = matches!(known, Some(Holding::Opening(_) | Holding::Open));
+        let known = self.flows.get(key).map(|flow| &flow.state);
+        let is_handed_over = matches!(known, Some(FlowState::Opening(_) | FlowState::Open));
         if !is_handed_over && !self.has_queued(key) {
             return false;
         }
@@ -136,7 +138,7 @@
         &mut self,
         context: &AgentContext<'_>,
         key: &FlowKey,
-        opening: Opening,
+        opening: PendingOpener,
         deadline: &Deadline,
         message: &Message,
         actions: &mut Vec<Action>,
@@ -154,7 +156,7 @@
         &self,
         context: &AgentContext<'_>,
         key: &FlowKey,
-        opening: &Opening,
+        opening: &PendingOpener,
         limits: &OpenerLimits,
         reason: NotTakenReason,
     ) {
@@ -163,7 +165,7 @@
             opening.copy,
             opening.waited_ms,
             opening.hops,
-            self.flows.busy(),
+            self.flows.busy_requests(),
             limits.max_busy.unwrap_or_default(),
             limits.is_cold,
             context.revision
@@ -175,26 +177,26 @@
         &mut self,
         context: &AgentContext<'_>,
         key: &FlowKey,
-        opening: Opening,
+        opening: PendingOpener,
         actions: &mut Vec<Action>,
     ) -> bool {
-        self.cold_rate.take();
+        self.cold_rate.take_token();
         let packet = opening.packet.clone();
         log::info!(
             "event=opener_taken flow={key} copy={} waited_ms={} hops={} busy={} open={} revision={}",
             opening.copy,
             opening.waited_ms,
             opening.hops,
-            self.flows.busy(),
-            self.flows.open(),
+            self.flows.busy_requests(),
+            self.flows.open_flows(),
             context.revision
         );
-        let flow = Flow::new(Holding::Opening(opening), context.now_ms);
+        let flow = Flow::new(FlowState::Opening(opening), context.now_ms);
         if !self.insert_flow(*key, flow, context.now_ms) {
             return false;
         }
         self.metrics.openers_taken.inc();
-        self.lookups.forget(key);
+        self.lookups.cancel(key);
         self.pending_flows.push(*key);
         actions.push(Action::ToBackend(packet));
         true
@@ -207,17 +209,18 @@
     segment: &Segment,
     packet: &[u8],
     message: &Message,
-) -> Opening {
+) -> PendingOpener {
     let deadline = context.directory.deadline(segment.destination);
-    Opening {
+    PendingOpener {
         since_ms: context.now_ms,
         packet: packet.to_vec(),
         balancer: message.host,
         hops: message.hops,
         copy: segment.acknowledgement,
         waited_ms: message.waited_ms,
-        expected_ms: deadline.map_or(EXPECTED_MS, |_| EXPECTED_SOON_MS),
-        answered: false,
+        busy_timeout_ms: deadline
+            .map_or(OPENER_BUSY_TIMEOUT_MS, |_| DEADLINE_OPENER_BUSY_TIMEOUT_MS),
+        is_answered: false,
         backend_sequence: 0,
     }
 }
--- a/src/opaque/flow_agent/stall.rs
+++ b/src/opaque/flow_agent/stall.rs
@@ -46,7 +46,7 @@
                 "event=backend_stalled silent_ms={} waiting={} slots={slots} open={} revision={}",
                 stall.silent_ms,
                 stall.waiting,
-                self.flows.open(),
+                self.flows.open_flows(),
                 context.revision
             );
         }
@@ -69,8 +69,8 @@
         log::info!(
             "event=stalled_flows_reset flows={} open={} busy={}",
             ended.len(),
-            self.flows.open(),
-            self.flows.busy()
+            self.flows.open_flows(),
+            self.flows.busy_requests()
         );
         for flow in ended {
             self.reset_flow(
@@ -105,7 +105,7 @@
         if let Some(stalled_ms) = self.stall_watch.served(key, now_ms) {
             log::warn!(
                 "event=backend_recovered stalled_ms={stalled_ms} busy={}",
-                self.flows.busy()
+                self.flows.busy_requests()
             );
             self.forget_stall();
         }
@@ -115,8 +115,8 @@
     /// backend server idle for seconds.
     fn forget_stall(&mut self) {
         self.forget_slot_times();
-        self.recent_load = MeanLoad::over(RECENT_SPAN_MS);
-        self.steady_load = MeanLoad::over(STEADY_SPAN_MS);
+        self.recent_load = MeanLoad::new(RECENT_SPAN_MS);
+        self.steady_load = MeanLoad::new(STEADY_SPAN_MS);
         self.outcomes = RecentOutcomes::default();
         self.was_failing = false;
     }
@@ -135,7 +135,7 @@
     /// Returns whether a recovering backend server has as many busy requests as the ramp after a
     /// stall allows now.
     pub(super) fn has_reached_ramp_limit(&self, limit: Option<f64>, now_ms: u64) -> bool {
-        let busy = f64::from(self.flows.busy());
+        let busy = f64::from(self.flows.busy_requests());
         limit.is_some_and(|limit| busy >= self.stall_watch.room(limit, now_ms))
     }
 }
--- a/src/opaque/flow_agent/waiting.rs
+++ b/src/opaque/flow_agent/waiting.rs
@@ -9,8 +9,8 @@
 use crate::decisions::service_time::wait_ms;
 use crate::decisions::wait_queue::{Pace, WaitQueue, Waiting};
 use crate::decisions::waiting::Prospect;
-use crate::opaque::finding::flow::Opening;
 use crate::opaque::flow_agent::{AgentContext, FlowAgent, send_to_peer};
+use crate::opaque::flows::flow::PendingOpener;
 use crate::opaque::packets::action::Action;
 use crate::opaque::packets::message::MessageKind;
 use crate::opaque::packets::segment::FlowKey;
@@ -41,7 +41,7 @@
 #[derive(Debug, Clone)]
 pub(super) enum QueuedKind {
     /// The opener of a flow that is not open yet.
-    Opener(Opening),
+    Opener(PendingOpener),
     /// The packets of a request on an open flow, in the order of their sequence numbers.
     Request(Vec<Vec<u8>>),
 }
@@ -58,7 +58,7 @@
     pub(super) fn update_slot_time(&mut self, context: &AgentContext<'_>) {
         let slots = self.backend_slots(context).unwrap_or_default();
         self.slot_time
-            .changed(self.flows.busy(), slots, context.now_ms);
+            .changed(self.flows.busy_requests(), slots, context.now_ms);
     }
 
     /// Returns whether the backend server may refuse a request for lack of room: the route has a
@@ -66,7 +66,7 @@
     pub(super) fn may_shed(&self, context: &AgentContext<'_>, key: &FlowKey) -> bool {
         let has_deadline = context.directory.has_deadline(key.called);
         let slots = self.backend_slots(context);
-        has_deadline && slots.is_some_and(|slots| self.flows.busy() >= slots)
+        has_deadline && slots.is_some_and(|slots| self.flows.busy_requests() >= slots)
     }
 
     /// Returns how long a new flow would wait for a slot, in milliseconds.
@@ -82,7 +82,7 @@
     /// Returns how long an entry with `queued_ahead` queued entries ahead of it waits for a slot,
     /// in milliseconds.
     fn wait_behind_ms(&mut self, context: &AgentContext<'_>, slots: u32, queued_ahead: u32) -> u64 {
-        let total = self.flows.busy_now(context.now_ms) + queued_ahead;
+        let total = self.flows.fresh_busy_requests(context.now_ms) + queued_ahead;
         let ahead = (total + 1).saturating_sub(slots);
         wait_ms(ahead, self.slot_time.service_ms(), slots)
     }
@@ -143,10 +143,10 @@
         &mut self,
         context: &AgentContext<'_>,
         key: &FlowKey,
-        opening: Opening,
+        opening: PendingOpener,
         deadline: &Deadline,
         actions: &mut Vec<Action>,
-    ) -> Result<(), Opening> {
+    ) -> Result<(), PendingOpener> {
         let balancer = opening.balancer;
         let waiting = queued_opener(context, key, &opening, deadline);
         let prospect = self.wait_prospect(context, &waiting, &opening, deadline);
@@ -159,7 +159,7 @@
             self.wait_queue.len(),
             prospect.wait_ms,
             waiting.due_ms.saturating_sub(context.now_ms),
-            self.flows.busy(),
+            self.flows.busy_requests(),
             self.backend_slots(context).unwrap_or_default(),
             context.revision
         );
@@ -186,7 +186,7 @@
         &mut self,
         context: &AgentContext<'_>,
         waiting: &Waiting<QueuedWork>,
-        opening: &Opening,
+        opening: &PendingOpener,
         deadline: &Deadline,
     ) -> Prospect {
         let slots = self.backend_slots(context).unwrap_or_default();
@@ -263,7 +263,7 @@
     /// Returns whether the backend server may be handed the next entry of the queue.
     fn has_backend_room(&mut self, context: &AgentContext<'_>, slots: u32) -> bool {
         let objective_ms = self.pace(slots).objective_ms;
-        let busy = f64::from(self.flows.busy_now(context.now_ms));
+        let busy = f64::from(self.flows.fresh_busy_requests(context.now_ms));
         busy < self.max_handed_over(slots, objective_ms, context.now_ms)
     }
 
@@ -285,14 +285,14 @@
                 self.hand_over_request(context, &key, packets, waited_ms, actions);
             }
             QueuedKind::Opener(opening)
-                if context.directory.service_of(&key) != Some(self.identity.service) =>
+                if context.directory.service_for_flow(&key) != Some(self.identity.service) =>
             {
                 self.hand_on(context, &key, with_added_wait(opening, waited_ms), actions);
             }
             QueuedKind::Opener(mut opening) => {
                 log::info!(
                     "event=opener_dequeued flow={key} waited_ms={waited_ms} busy={} slots={} service_ms={:.1}",
-                    self.flows.busy(),
+                    self.flows.busy_requests(),
                     self.backend_slots(context).unwrap_or_default(),
                     self.slot_time.service_ms()
                 );
@@ -371,7 +371,7 @@
         &self,
         context: &AgentContext<'_>,
         key: &FlowKey,
-        opening: &Opening,
+        opening: &PendingOpener,
         reason: &str,
         actions: &mut Vec<Action>,
     ) {
@@ -381,7 +381,7 @@
         log::info!(
             "event=opener_refused flow={key} reason={reason} waited_ms={waited_ms} age_ms={age_ms} waiting={} busy={} slots={} code={} revision={}",
             self.wait_queue.len(),
-            self.flows.busy(),
+            self.flows.busy_requests(),
             self.backend_slots(context).unwrap_or_default(),
             Code::NoRoom.number(),
             context.revision
@@ -400,7 +400,7 @@
 }
 
 /// Returns an opener with the time that it has waited here added to its wait.
-fn with_added_wait(mut opening: Opening, waited_ms: u64) -> Opening {
+fn with_added_wait(mut opening: PendingOpener, waited_ms: u64) -> PendingOpener {
     let waited_ms = u16::try_from(waited_ms).unwrap_or(u16::MAX);
     opening.waited_ms = opening.waited_ms.saturating_add(waited_ms);
     opening
@@ -410,7 +410,7 @@
 fn queued_opener(
     context: &AgentContext<'_>,
     key: &FlowKey,
-    opening: &Opening,
+    opening: &PendingOpener,
     deadline: &Deadline,
 ) -> Waiting<QueuedWork> {
     let age_ms = opening.age_ms();
--- a/src/opaque/finding/flow_book.rs
+++ b/src/opaque/flows/flow_table.rs
@@ -1,23 +1,24 @@
-//! What an agent knows of the flows of its backend server, and how much work they are.
+//! The flow table of an agent: the flows of its backend server, with counts of open flows and busy
+//! requests.
 
-use crate::opaque::finding::flow::{Flow, Holding};
-use crate::opaque::finding::flow_map::FlowMap;
-use crate::opaque::finding::remains::{EndedFlow, Remains};
+use crate::opaque::flows::flow::{Flow, FlowState};
+use crate::opaque::flows::flow_map::FlowMap;
+use crate::opaque::flows::orphaned_flows::{EndedFlow, OrphanedFlows};
 use crate::opaque::packets::segment::FlowKey;
 use crate::process::opaque_metrics::OpaqueMetrics;
 
-/// How many flows an agent remembers: eight times the connections of the largest backend servers.
+/// The capacity of the table: eight times the connections of the largest backend servers.
 const MAX_FLOWS: usize = 16_384;
-/// How long a flow is remembered after its backend server has ended it, in milliseconds: for its last
-/// acknowledgements.
-const CLOSED_MS: u64 = 2_000;
-/// How old a count of the requests may be where openers wait for a slot, in milliseconds: a part of the time for
-/// which a taken opener counts.
+/// How long a flow is kept after its backend server has ended it, in milliseconds. Its last
+/// acknowledgements still arrive then.
+const CLOSED_TTL_MS: u64 = 2_000;
+/// The age from which the counts are taken again where openers wait for a slot, in milliseconds: a
+/// fraction of the time for which a taken opener counts as busy.
 const COUNT_MAX_AGE_MS: u64 = 20;
 
-/// The flows of one agent, with counts of the open ones and of the requests that run.
+/// The flows of one agent, with counts of the open flows and of the busy requests.
 #[derive(Debug)]
-pub(crate) struct FlowBook {
+pub(crate) struct FlowTable {
     flows: FlowMap<Flow>,
     metrics: OpaqueMetrics,
     lifetime_ms: u64,
@@ -26,8 +27,8 @@
     counted_ms: u64,
 }
 
-impl FlowBook {
-    /// Makes a book without flows; one without a packet for `lifetime_ms` is forgotten.
+impl FlowTable {
+    /// Creates an empty table. A flow without a packet for `lifetime_ms` expires.
     pub(crate) fn new(metrics: &OpaqueMetrics, lifetime_ms: u64) -> Self {
         Self {
             flows: FlowMap::new(MAX_FLOWS),
@@ -39,21 +40,23 @@
         }
     }
 
-    /// Returns the requests that run or wait at the backend server.
-    pub(crate) fn busy(&self) -> u32 {
+    /// Returns the number of requests that run or wait at the backend server.
+    pub(crate) fn busy_requests(&self) -> u32 {
         self.busy
     }
 
-    /// Returns the same, without what counted as a request until a moment ago and does no more.
-    pub(crate) fn busy_now(&mut self, now_ms: u64) -> u32 {
+    /// Returns [`FlowTable::busy_requests`], counted again if the count is stale.
+    ///
+    /// A new count leaves out requests and openers whose busy timeout has passed.
+    pub(crate) fn fresh_busy_requests(&mut self, now_ms: u64) -> u32 {
         if now_ms >= self.counted_ms + COUNT_MAX_AGE_MS {
-            self.count_anew(now_ms);
+            self.recount(now_ms);
         }
         self.busy
     }
 
-    /// Returns the flows open there.
-    pub(crate) fn open(&self) -> u32 {
+    /// Returns the number of flows that are open at the backend server.
+    pub(crate) fn open_flows(&self) -> u32 {
         self.open
     }
 
@@ -61,7 +64,7 @@
         self.flows.get(key)
     }
 
-    /// Inserts or replaces a flow; says whether there was room.
+    /// Inserts or replaces a flow. Returns false if the table is full.
     pub(crate) fn insert(&mut self, key: FlowKey, flow: Flow, now_ms: u64) -> bool {
         self.remove(&key, now_ms);
         let (open, busy) = (flow.is_open(), flow.is_busy(now_ms));
@@ -72,7 +75,7 @@
         inserted
     }
 
-    /// Changes a flow, if it is known, and returns what the change returns.
+    /// Applies `change` to a flow and returns its result, or `None` if the flow is unknown.
     pub(crate) fn update<T>(
         &mut self,
         key: &FlowKey,
@@ -94,24 +97,28 @@
         Some(flow)
     }
 
-    /// Takes out everything that a backend server held which has ended before `end_ms`.
-    pub(crate) fn take_remains(&mut self, end_ms: u64, now_ms: u64) -> Remains {
-        let mut remains = Remains::default();
+    /// Removes the flows of a backend server that ended, and returns those to be reset or passed on.
+    ///
+    /// Flows first seen at `end_ms` or later stay.
+    pub(crate) fn take_orphaned(&mut self, end_ms: u64, now_ms: u64) -> OrphanedFlows {
+        let mut orphaned = OrphanedFlows::default();
         self.flows.retain(|key, flow| {
             if flow.since_ms >= end_ms {
                 return true;
             }
-            match &flow.holding {
-                Holding::Elsewhere(_) | Holding::Absent => return true,
-                Holding::Opening(opening) if !flow.closed => {
-                    remains.openers.push((*key, opening.clone()));
+            match &flow.state {
+                FlowState::Elsewhere(_) | FlowState::Absent => return true,
+                FlowState::Opening(opener) if !flow.is_closed => {
+                    orphaned.openers.push((*key, opener.clone()));
                 }
-                // Another backend server may hold what this one never showed.
-                Holding::Open if flow.shown && !flow.closed => remains.flows.push(EndedFlow {
-                    key: *key,
-                    acknowledgement: flow.caller_acknowledgement,
-                }),
-                Holding::Open | Holding::Opening(_) | Holding::Unconfirmed { .. } => {}
+                // Without proof that this backend server held the flow, another one may hold it.
+                FlowState::Open if flow.is_confirmed && !flow.is_closed => {
+                    orphaned.flows.push(EndedFlow {
+                        key: *key,
+                        acknowledgement: flow.caller_acknowledgement,
+                    })
+                }
+                FlowState::Open | FlowState::Opening(_) | FlowState::Unconfirmed { .. } => {}
             }
             if let Some(running) = &flow.running {
                 self.metrics.requests_lost.inc();
@@ -123,21 +130,21 @@
             }
             false
         });
-        self.count_anew(now_ms);
-        remains
+        self.recount(now_ms);
+        orphaned
     }
 
-    /// Returns at most `most` flows without a request, out of those that `may_end`, whose callers are to be told
-    /// that they have ended; each is returned once.
+    /// Returns at most `limit` idle flows that `may_end` accepts, for the agent to end them towards
+    /// their callers. Each flow is returned once.
     pub(crate) fn end_idle(
         &mut self,
-        most: usize,
+        limit: usize,
         may_end: impl Fn(&FlowKey) -> bool,
     ) -> Vec<EndedFlow> {
         let mut ended = Vec::new();
         self.flows.retain(|key, flow| {
-            if ended.len() < most && !flow.told_ended && flow.is_idle() && may_end(key) {
-                flow.told_ended = true;
+            if ended.len() < limit && !flow.is_end_sent && flow.is_idle() && may_end(key) {
+                flow.is_end_sent = true;
                 ended.push(EndedFlow {
                     key: *key,
                     acknowledgement: flow.caller_acknowledgement,
@@ -148,16 +155,20 @@
         ended
     }
 
-    /// Forgets flows of which nothing was heard for long, counts anew, and returns how many requests
-    /// have become overdue.
+    /// Removes expired flows, counts again, and returns how many requests have become
+    /// overdue.
     pub(crate) fn expire(&mut self, now_ms: u64) -> u32 {
         let (mut open, mut busy, mut overdue) = (0, 0, 0);
         let lifetime_ms = self.lifetime_ms;
         self.flows.retain(|key, flow| {
-            let kept_ms = if flow.closed { CLOSED_MS } else { lifetime_ms };
-            let keeps = now_ms < flow.seen_ms + kept_ms;
-            if keeps {
-                overdue += u32::from(flow.became_overdue(key, now_ms));
+            let ttl_ms = if flow.is_closed {
+                CLOSED_TTL_MS
+            } else {
+                lifetime_ms
+            };
+            let is_kept = now_ms < flow.last_seen_ms + ttl_ms;
+            if is_kept {
+                overdue += u32::from(flow.mark_overdue(key, now_ms));
                 open += u32::from(flow.is_open());
                 busy += u32::from(flow.is_busy(now_ms));
             } else if let Some(running) = &flow.running {
@@ -167,15 +178,15 @@
                     now_ms.saturating_sub(running.since_ms)
                 );
             }
-            keeps
+            is_kept
         });
         (self.open, self.busy) = (open, busy);
         self.counted_ms = now_ms;
-        self.show();
+        self.update_metrics();
         overdue
     }
 
-    fn count_anew(&mut self, now_ms: u64) {
+    fn recount(&mut self, now_ms: u64) {
         let (mut open, mut busy) = (0, 0);
         self.flows.retain(|_, flow| {
             open += u32::from(flow.is_open());
@@ -184,7 +195,7 @@
         });
         (self.open, self.busy) = (open, busy);
         self.counted_ms = now_ms;
-        self.show();
+        self.update_metrics();
     }
 
     fn count(&mut self, open: bool, busy: bool, sign: i32) {
@@ -192,7 +203,7 @@
         self.busy = self.busy.saturating_add_signed(i32::from(busy) * sign);
     }
 
-    fn show(&self) {
+    fn update_metrics(&self) {
         self.metrics.flows_open.set(i64::from(self.open));
         self.metrics.requests_busy.set(i64::from(self.busy));
     }
--- a/src/opaque/processes/side.rs
+++ b/src/opaque/processes/agent.rs
@@ -11,18 +11,18 @@
 
 use crate::code::Code;
 use crate::config::service_id::ServiceId;
-use crate::controllers::control::Control;
+use crate::controllers::control_plane::ControlPlane;
 use crate::decisions::stall::LOOK_MS;
 use crate::error::{Error, Result};
-use crate::opaque::finding::lookup::asks_all;
 use crate::opaque::flow_agent::{AgentContext, AgentIdentity, FlowAgent};
+use crate::opaque::flows::lookup::queries_all_agents;
 use crate::opaque::packets::action::Action;
 use crate::opaque::packets::message::{Message, MessageKind};
-use crate::opaque::processes::backend_watch::{self, BackendSign};
+use crate::opaque::processes::backend_watch::{self, ConnectionEvent};
 use crate::opaque::processes::readiness;
 use crate::opaque::processes::ticker::Ticker;
-use crate::opaque::values::settling::START_SETTLE_MS;
-use crate::opaque::{Adapter, Node};
+use crate::opaque::values::settle_state::START_SETTLE_MS;
+use crate::opaque::{Node, PlatformAdapter};
 use crate::process::udp::{self, BUFFER_BYTES};
 
 /// How long an agent that stops still hands packets to its backend server while openers go
@@ -38,7 +38,7 @@
 /// the platform serves after about this time.
 const GREET_MS: u64 = 100;
 
-struct Side {
+struct AgentProcess {
     node: Rc<Node>,
     flow_agent: RefCell<FlowAgent>,
     backend: SocketAddrV4,
@@ -49,8 +49,8 @@
 
 /// Runs an agent until `stop` completes.
 pub(crate) async fn run(
-    control: Rc<Control>,
-    adapter: Adapter,
+    control: Rc<ControlPlane>,
+    adapter: PlatformAdapter,
     stop: impl Future<Output = ()>,
 ) -> Result<()> {
     let node = Node::new(&control, adapter)?;
@@ -62,7 +62,7 @@
     let ready = readiness::serve(&control).await?;
     let fresh = control.settings.opaque.fresh_site;
     let (doubts, doubted) = mpsc::channel(1);
-    let side = Rc::new(Side {
+    let side = Rc::new(AgentProcess {
         flow_agent: RefCell::new(FlowAgent::new(
             node.wire,
             identity,
@@ -89,19 +89,19 @@
     Ok(())
 }
 
-fn identity(control: &Control) -> Result<AgentIdentity> {
+fn identity(control: &ControlPlane) -> Result<AgentIdentity> {
     let settings = &control.settings.opaque;
     let missing = |key: &str| Error::new(Code::SettingsMissing, format!("[opaque] {key}"));
     let service = settings.service.as_deref();
     Ok(AgentIdentity {
         host: control.settings.host,
         backend: settings.backend.ok_or_else(|| missing("backend"))?,
-        service: ServiceId::of(service.ok_or_else(|| missing("service"))?),
+        service: ServiceId::from_name(service.ok_or_else(|| missing("service"))?),
         flow_lifetime_ms: settings.flow_lifetime_ms(),
     })
 }
 
-impl Side {
+impl AgentProcess {
     fn receive(self: Rc<Self>, from_backend: UdpSocket) {
         let side = self.clone();
         compio::runtime::spawn(async move { side.receive_from_backend(&from_backend).await })
@@ -148,7 +148,9 @@
     fn announce_unlisted(&self) {
         let directory = self.node.directory.borrow();
         let hosts = directory.current_hosts();
-        if !asks_all(&directory) || !self.flow_agent.borrow().is_backend_unlisted(&directory) {
+        if !queries_all_agents(&directory)
+            || !self.flow_agent.borrow().is_backend_unlisted(&directory)
+        {
             return;
         }
         let own = self.node.control.settings.host;
@@ -168,21 +170,21 @@
         .detach();
     }
 
-    fn backend_sign(self: &Rc<Self>, sign: BackendSign) {
+    fn backend_sign(self: &Rc<Self>, sign: ConnectionEvent) {
         match sign {
-            BackendSign::Listens => {
+            ConnectionEvent::Accepted => {
                 let now_ms = self.node.control.now_ms();
                 self.flow_agent
                     .borrow_mut()
                     .handle_backend_listening(now_ms);
             }
-            BackendSign::Breaks => {
+            ConnectionEvent::Broken => {
                 let now_ms = self.node.control.now_ms();
                 self.flow_agent
                     .borrow_mut()
                     .handle_backend_disconnected(now_ms);
             }
-            BackendSign::Refuses => {
+            ConnectionEvent::Refused => {
                 self.decide(|agent, context| Ok(agent.handle_backend_refused(context)))
             }
         }
--- a/tests/opaque/backend_process.rs
+++ b/tests/opaque/backend_process.rs
@@ -106,7 +106,9 @@
 fn publish_next_lifetime(agent: &mut AgentUnderTest) -> Vec<Action> {
     let text = state_text(1, BackendState::Ready);
     let backend = Backend::parse(&text).expect("sound text");
-    agent.directory.apply("i-next", backend, 50, agent.now_ms);
+    agent
+        .directory
+        .apply_backend("i-next", backend, 50, agent.now_ms);
     agent.revision = 50;
     agent.handle_published_change()
 }
--- a/tests/opaque/declines.rs
+++ b/tests/opaque/declines.rs
@@ -3,7 +3,7 @@
 use std::net::Ipv4Addr;
 
 use endivedyke::Suspicion;
-use endivedyke::opaque::{Action, Message, MessageKind, UNKNOWN_LOAD, steady_load};
+use endivedyke::opaque::{Action, Message, MessageKind, UNKNOWN_LOAD_PERMILLE, decode_steady_load};
 
 use crate::builder::{
     AgentUnderTest, BALANCER, directory, flow, forwarder, host, hosts_told, opener, reaches_backend,
@@ -43,7 +43,7 @@
 #[test]
 fn an_agent_loaded_above_the_mean_declines_openers() {
     for (mean, declines) in [
-        (UNKNOWN_LOAD, false),
+        (UNKNOWN_LOAD_PERMILLE, false),
         (3_000, false),
         (1_300, false),
         (100, true),
@@ -106,17 +106,20 @@
     let directory = directory(20);
     let mut balancer = forwarder();
     for index in 1..=20 {
-        balancer.heard_steady(host(index), 200, 1_000);
+        balancer.record_steady_load(host(index), 200, 1_000);
     }
     let (key, mut suspicion) = (flow(1), Suspicion::default());
     let first = balancer.handle(&directory, &mut suspicion, opener(&key, 0), 1_100);
     let mut asked = vec![host_and_load(first.ok())];
     while let Some((last, 200)) = asked.last().copied() {
-        let next = balancer.declined(&directory, &suspicion, &key, last, 1_101);
+        let next = balancer.handle_decline(&directory, &suspicion, &key, last, 1_101);
         asked.push(host_and_load(next));
     }
     assert_eq!(asked.len(), 4, "{asked:?}");
-    assert_eq!(asked[3].1, UNKNOWN_LOAD, "the last agent can't decline");
+    assert_eq!(
+        asked[3].1, UNKNOWN_LOAD_PERMILLE,
+        "the last agent can't decline"
+    );
     let mut hosts: Vec<Ipv4Addr> = asked.iter().map(|(host, _)| *host).collect();
     hosts.sort_unstable();
     hosts.dedup();
@@ -130,13 +133,13 @@
     let (key, mut suspicion) = (flow(1), Suspicion::default());
     let first = balancer.handle(&directory, &mut suspicion, opener(&key, 0), 1_100);
     let (first, _) = host_and_load(first.ok());
-    let second = balancer.declined(&directory, &suspicion, &key, first, 1_101);
+    let second = balancer.handle_decline(&directory, &suspicion, &key, first, 1_101);
     let (second, _) = host_and_load(second);
     assert!(balancer.tick(&directory, &mut suspicion, 1_200).is_empty());
     let actions = balancer.tick(&directory, &mut suspicion, 1_201);
     let (third, _) = host_and_load(actions.into_iter().next());
     assert!(third != first && third != second);
-    let again = balancer.declined(&directory, &suspicion, &key, first, 1_202);
+    let again = balancer.handle_decline(&directory, &suspicion, &key, first, 1_202);
     assert_eq!(
         again, None,
         "a late answer of an agent that was asked before"
@@ -149,7 +152,7 @@
     let directory = directory(servers);
     let mut balancer = forwarder();
     for (index, permille) in (1..).zip(heard) {
-        balancer.heard_steady(host(index), *permille, 1_000);
+        balancer.record_steady_load(host(index), *permille, 1_000);
     }
     let mut suspicion = Suspicion::default();
     let packet = opener(&flow(1), 0);
@@ -165,12 +168,12 @@
     assert_eq!(mean_in_opener(20, &[100, 200, 300, 400]), 250);
     assert_eq!(
         mean_in_opener(20, &[100, 200, 300]),
-        UNKNOWN_LOAD,
+        UNKNOWN_LOAD_PERMILLE,
         "too few loads are known"
     );
     assert_eq!(
         mean_in_opener(15, &[100, 200, 300, 400]),
-        UNKNOWN_LOAD,
+        UNKNOWN_LOAD_PERMILLE,
         "the service is too small"
     );
 }
@@ -178,10 +181,10 @@
 #[test]
 fn the_notice_that_an_opener_was_taken_carries_the_load() {
     let mut agent = loaded_agent();
-    let actions = open(&mut agent, UNKNOWN_LOAD);
+    let actions = open(&mut agent, UNKNOWN_LOAD_PERMILLE);
     let holds = actions.iter().find_map(|action| match action {
         Action::ToPeer(_, message, payload) if message.kind == MessageKind::Holds => {
-            steady_load(payload)
+            decode_steady_load(payload)
         }
         _ => None,
     });
--- a/tests/opaque/flow_agent.rs
+++ b/tests/opaque/flow_agent.rs
@@ -325,7 +325,7 @@
     let text = state_text(1, BackendState::Ready).replace(builder::SERVICE, "scene-intake");
     publish(&mut agent.directory, 1, &text, 9, 0);
     let own = AgentIdentity {
-        service: ServiceId::of("scene-intake"),
+        service: ServiceId::from_name("scene-intake"),
         ..agent.identity()
     };
     agent.flow_agent = builder::flow_agent(own);
--- a/tests/opaque/opened_flows.rs
+++ b/tests/opaque/opened_flows.rs
@@ -146,12 +146,12 @@
 #[test]
 fn a_balancer_marks_each_packet_of_an_opened_flow() {
     let mut balancer = forwarder();
-    balancer.holds(flow(1), host(4), 1_000);
+    balancer.record_holder(flow(1), host(4), 1_000);
     assert!(!is_sent_as_opened(&mut balancer, request(&flow(1), 501)));
-    balancer.opened(flow(1), host(4), 1_010);
+    balancer.record_opened(flow(1), host(4), 1_010);
     assert!(is_sent_as_opened(&mut balancer, request(&flow(1), 501)));
     // An agent that took a late copy of the opener does not hold the flow.
-    balancer.holds(flow(1), host(2), 1_020);
+    balancer.record_holder(flow(1), host(2), 1_020);
     assert!(is_sent_as_opened(&mut balancer, request(&flow(1), 900)));
     assert!(!is_sent_as_opened(&mut balancer, request(&flow(2), 501)));
 }
@@ -159,13 +159,13 @@
 #[test]
 fn a_later_flow_between_the_same_endpoints_is_not_marked_as_opened() {
     let mut reopened = forwarder();
-    reopened.opened(flow(1), host(4), 1_000);
+    reopened.record_opened(flow(1), host(4), 1_000);
     assert!(!is_sent_as_opened(&mut reopened, opener(&flow(1), 0)));
     assert!(!is_sent_as_opened(&mut reopened, request(&flow(1), 501)));
 
     // The opener of the later flow came through another balancer.
     let mut unaware = forwarder();
-    unaware.opened(flow(1), host(4), 1_000);
+    unaware.record_opened(flow(1), host(4), 1_000);
     assert!(is_sent_as_opened(&mut unaware, request(&flow(1), 501)));
     assert!(!is_sent_as_opened(
         &mut unaware,
--- a/tests/opaque/restored_platform.rs
+++ b/tests/opaque/restored_platform.rs
@@ -1,10 +1,10 @@
 //! What processes hold while the platform comes back from older copies and numbers changes anew.
 
 use endivedyke::opaque::{
-    BackendState, Batch, Published, ROUTES_HEADER, ROUTES_NAME, Restoration, RestorationStep,
-    SETTLE_MS, news,
+    BackendState, Batch, PublishedValue, RESTORE_SETTLE_MS, ROUTES_HEADER, ROUTES_NAME,
+    RestorationEvent, RestorationTracker, new_values,
 };
-use endivedyke::{Acceptance, ClusterKey, ConfigStore, Revision, Stamp};
+use endivedyke::{AcceptOutcome, ClusterKey, ConfigStore, Revision, VersionStamp};
 use proptest::prelude::*;
 
 use crate::builder::{started_text, state_text};
@@ -17,8 +17,8 @@
     Revision::new(era, number).expect("small")
 }
 
-fn stamp(era: u64, number: u64, version: u64) -> Stamp {
-    Stamp {
+fn stamp(era: u64, number: u64, version: u64) -> VersionStamp {
+    VersionStamp {
         revision: revision(era, number),
         version,
     }
@@ -63,8 +63,8 @@
         (stamp(1, 4, 0), stamp(0, 18, 24), true),
         (stamp(0, 18, 24), stamp(1, 4, 0), false),
     ];
-    for (offered, held, is_after) in cases {
-        assert_eq!(offered.is_after(held), is_after, "{offered:?} {held:?}");
+    for (offered, held, supersedes) in cases {
+        assert_eq!(offered.supersedes(held), supersedes, "{offered:?} {held:?}");
     }
 }
 
@@ -76,11 +76,14 @@
     store.accept(ENTRY, 7, &draining).expect("sound");
     let copied = revision(1, 5);
     store.accept("other", revision(1, 4), "").expect("sound");
-    assert_eq!(store.accept(ENTRY, copied, &ready), Ok(Acceptance::Old));
-    store.settle(1);
     assert_eq!(
         store.accept(ENTRY, copied, &ready),
-        Ok(Acceptance::Accepted),
+        Ok(AcceptOutcome::Stale)
+    );
+    store.mark_era_settled(1);
+    assert_eq!(
+        store.accept(ENTRY, copied, &ready),
+        Ok(AcceptOutcome::Accepted),
         "what still stands there was written again"
     );
 }
@@ -93,7 +96,7 @@
     let ready = state_text(1, BackendState::Ready);
     assert_eq!(
         store.accept(ENTRY, revision(1, 5), &ready),
-        Ok(Acceptance::Old)
+        Ok(AcceptOutcome::Stale)
     );
 }
 
@@ -101,8 +104,8 @@
 fn a_server_that_left_before_the_return_stays_gone_and_one_that_lapsed_is_back() {
     let ready = state_text(1, BackendState::Ready);
     for (last, accepted) in [
-        (BackendState::Draining, Acceptance::Old),
-        (BackendState::Ready, Acceptance::Accepted),
+        (BackendState::Draining, AcceptOutcome::Stale),
+        (BackendState::Ready, AcceptOutcome::Accepted),
     ] {
         let mut store = store();
         store.accept(ENTRY, 7, &state_text(1, last)).expect("sound");
@@ -122,37 +125,46 @@
     let before = started_text(1, 100);
     assert_eq!(
         store.accept(ENTRY, revision(1, 5), &before),
-        Ok(Acceptance::Old)
+        Ok(AcceptOutcome::Stale)
     );
     let after = started_text(1, 300);
     assert_eq!(
         store.accept(ENTRY, revision(1, 6), &after),
-        Ok(Acceptance::Accepted)
+        Ok(AcceptOutcome::Accepted)
     );
 }
 
 #[test]
 fn a_restoration_settles_once_values_are_new_for_long_enough() {
-    let mut restoration = Restoration::default();
+    let mut restoration = RestorationTracker::default();
     const {
         assert!(
-            SETTLE_MS > LEASE_MS,
+            RESTORE_SETTLE_MS > LEASE_MS,
             "an ended server would get flows again"
         )
     };
-    assert_eq!(restoration.look(0, 100), None);
-    assert_eq!(restoration.look(1, 1_000), Some(RestorationStep::Restored));
+    assert_eq!(restoration.observe_era(0, 100), None);
+    assert_eq!(
+        restoration.observe_era(1, 1_000),
+        Some(RestorationEvent::Restored)
+    );
     // The clock stands still while the platform is away once more.
-    assert_eq!(restoration.look(1, 1_000 + SETTLE_MS - 1), None);
     assert_eq!(
-        restoration.look(1, 1_000 + SETTLE_MS),
-        Some(RestorationStep::Settled)
+        restoration.observe_era(1, 1_000 + RESTORE_SETTLE_MS - 1),
+        None
     );
-    assert_eq!(restoration.look(1, 9_000), None);
+    assert_eq!(
+        restoration.observe_era(1, 1_000 + RESTORE_SETTLE_MS),
+        Some(RestorationEvent::Settled)
+    );
+    assert_eq!(restoration.observe_era(1, 9_000), None);
     // A return while it settles begins anew.
-    restoration.look(2, 10_000);
-    assert_eq!(restoration.look(3, 11_000), Some(RestorationStep::Restored));
-    assert_eq!(restoration.look(3, 10_000 + SETTLE_MS), None);
+    restoration.observe_era(2, 10_000);
+    assert_eq!(
+        restoration.observe_era(3, 11_000),
+        Some(RestorationEvent::Restored)
+    );
+    assert_eq!(restoration.observe_era(3, 10_000 + RESTORE_SETTLE_MS), None);
 }
 
 /// A platform that takes configurations, and comes back from copies of itself.
@@ -162,14 +174,14 @@
     number: u64,
     version: u64,
     /// The configuration that it shows.
-    shown: Option<Published>,
-    copy: Option<(u64, Option<Published>)>,
+    shown: Option<PublishedValue>,
+    copy: Option<(u64, Option<PublishedValue>)>,
 }
 
 impl PlatformModel {
     fn write(&mut self) {
         self.number += 1;
-        self.shown = Some(Published {
+        self.shown = Some(PublishedValue {
             name: ROUTES_NAME.to_owned(),
             stamp: stamp(self.era, self.number, self.version),
             text: Some(routes(self.version)),
@@ -179,7 +191,7 @@
     fn restore(&mut self) {
         if let Some((number, shown)) = self.copy.clone() {
             self.number = number;
-            self.shown = shown.map(|shown| shown.in_era(self.era + 1));
+            self.shown = shown.map(|shown| shown.with_era(self.era + 1));
             self.era += 1;
         }
     }
@@ -225,7 +237,7 @@
 const PROCESSES: usize = 4;
 
 fn read(store: &mut ConfigStore, batch: &Batch) {
-    for state in news(store, batch) {
+    for state in new_values(store, batch) {
         store
             .accept(state.name, state.stamp, state.text)
             .expect("sound");
@@ -236,7 +248,7 @@
     let wanted = stores[from]
         .changes_since(Revision::ZERO)
         .iter()
-        .any(|(name, stamp)| stores[to].wants(name, *stamp));
+        .any(|(name, stamp)| stores[to].is_new_state(name, *stamp));
     let have = stores[to].revision(ROUTES_NAME);
     if let Some(update) = stores[from]
         .update_for(ROUTES_NAME, have)
--- a/tests/opaque/unpublished_servers.rs
+++ b/tests/opaque/unpublished_servers.rs
@@ -92,8 +92,8 @@
 #[test]
 fn an_unlisted_server_gets_no_row_in_the_table() {
     let mut directory = agent(Seen::Accepted).directory;
-    directory.note_unlisted(host(1), 1_000);
-    assert!(directory.is_current(host(1)), "lookups include it");
+    directory.record_unlisted(host(1), 1_000);
+    assert!(directory.may_hold_flows(host(1)), "lookups include it");
     assert_eq!(takers(&directory), [host(2)]);
 }
 
@@ -132,11 +132,11 @@
 #[test]
 fn a_server_in_an_evacuated_zone_takes_no_flow_before_or_after_its_entry() {
     let mut agent = agent(Seen::RefusedThenAccepted);
-    agent.directory.set_evacuated(ZONE, true, 9);
+    agent.directory.set_zone_evacuated(ZONE, true, 9);
     assert!(!takes_opener(&mut agent, 1));
     publish_own(&mut agent, BackendState::Ready);
     assert!(!takes_opener(&mut agent, 2));
-    agent.directory.set_evacuated(ZONE, false, 10);
+    agent.directory.set_zone_evacuated(ZONE, false, 10);
     assert!(takes_opener(&mut agent, 3));
 }
 
@@ -165,7 +165,9 @@
         if let Some(text) = &text {
             let backend = Backend::parse(text).expect("sound");
             let now_ms = agent.now_ms;
-            agent.directory.apply("i-before", backend, restored, now_ms);
+            agent
+                .directory
+                .apply_backend("i-before", backend, restored, now_ms);
         }
         assert_eq!(takes_opener(&mut agent, 1), taken, "{text:?}");
     }
--- a/tests/opaque/waiting.rs
+++ b/tests/opaque/waiting.rs
@@ -2,8 +2,8 @@
 //! have time for one attempt, also under failures.
 
 use endivedyke::opaque::{
-    Action, BackendState, FlowKey, Message, MessageKind, ROUTES_HEADER, RouteTable, deadlines,
-    told_wait,
+    Action, BackendState, FlowKey, Message, MessageKind, ROUTES_HEADER, RouteTable, decode_wait_ms,
+    parse_deadlines,
 };
 
 use crate::builder::{
@@ -21,7 +21,7 @@
 fn agent() -> AgentUnderTest {
     let mut agent = AgentUnderTest::new(3, true);
     let text = format!("{CALLED},{OBJECTIVE_MS},{TIMEOUT_MS}\n");
-    let published = deadlines(&text).expect("sound");
+    let published = parse_deadlines(&text).expect("sound");
     agent.directory.set_deadlines(published);
     agent
 }
@@ -108,7 +108,7 @@
     assert!(!reaches_backend(&actions));
     let wait_ms = actions.iter().find_map(|action| match action {
         Action::ToPeer(BALANCER, message, payload) if message.kind == MessageKind::Declined => {
-            told_wait(payload)
+            decode_wait_ms(payload)
         }
         _ => None,
     });
@@ -163,7 +163,7 @@
             agent.refuse()
         }),
         ("the zone is evacuated", |agent| {
-            agent.directory.set_evacuated(ZONE, true, 100);
+            agent.directory.set_zone_evacuated(ZONE, true, 100);
             agent.tick_at(agent.now_ms + 20)
         }),
         ("the backend server drains", |agent| {
@@ -369,7 +369,7 @@
     let actions = agent.hear(BALANCER, message, &opener(&flow(1), 0));
     assert_eq!(hosts_told(&actions, MessageKind::Declined), [BALANCER]);
     assert!(actions.iter().any(|action| match action {
-        Action::ToPeer(_, _, payload) => told_wait(payload).is_some(),
+        Action::ToPeer(_, _, payload) => decode_wait_ms(payload).is_some(),
         _ => false,
     }));
 }
