--- a/src/opaque/flow_agent.rs
+++ b/src/opaque/flow_agent.rs
@@ -174,7 +174,7 @@
     }
 
     /// Returns the number of requests that run or wait at the backend server.
-    pub fn busy(&self) -> u32 {
+    pub fn busy_requests(&self) -> u32 {
         self.flows.busy_requests()
     }
 
--- a/src/opaque/flow_agent/backend_packets.rs
+++ b/src/opaque/flow_agent/backend_packets.rs
@@ -77,9 +77,9 @@
                 }
                 match state {
                     FlowState::Unconfirmed {
-                        source: PacketSource::AskingAgent(asker),
+                        source: PacketSource::AskingAgent(asking_agent),
                         ..
-                    } => send_to_peer(MessageKind::Absent, &key, asker, actions),
+                    } => send_to_peer(MessageKind::Absent, &key, asking_agent, actions),
                     // The flow opened here and nowhere else, and ended with the backend server's
                     // process.
                     FlowState::Unconfirmed {
@@ -127,7 +127,7 @@
         let disconnected_ms = self.disconnected_ms;
         let answered = self.flows.update(&key, now_ms, |flow| {
             flow.last_seen_ms = now_ms;
-            let was_shown = flow.is_confirmed;
+            let was_confirmed = flow.is_confirmed;
             flow.is_confirmed |= !segment.accepts;
             if let Some(next) = acknowledged {
                 flow.record_acknowledgement(next);
@@ -152,7 +152,7 @@
             let running = flow.running.take_if(|_| begins_answer || flow.is_closed);
             let end = match (begins_answer, has_deadline) {
                 (true, _) => None,
-                (false, true) => Some(unanswered_end(flow, segment, was_shown)),
+                (false, true) => Some(unanswered_end(flow, segment, was_confirmed)),
                 (false, false) => Some(UnansweredEnd::Closed),
             };
             (
@@ -274,8 +274,8 @@
                 }
                 self.flows
                     .update(key, context.now_ms, |flow| flow.state = FlowState::Open);
-                if let PacketSource::AskingAgent(asker) = source {
-                    send_to_peer(MessageKind::Found, key, asker, actions);
+                if let PacketSource::AskingAgent(asking_agent) = source {
+                    send_to_peer(MessageKind::Found, key, asking_agent, actions);
                 }
             }
             _ => {}
@@ -284,16 +284,16 @@
     }
 }
 
-/// Returns why the backend server ended a flow with this packet. `was_shown` is whether it had sent
-/// packets on the flow before.
+/// Returns why the backend server ended a flow with this packet. `was_confirmed` is whether it had
+/// sent packets on the flow before.
 ///
 /// After a restart of many hosts, callers leave whose timeouts expired during the outage, and flows
 /// from before the restart are reset. Counted as failures, both would take a backend server out of
 /// rotation that has just come back.
-fn unanswered_end(flow: &Flow, segment: &Segment, was_shown: bool) -> UnansweredEnd {
+fn unanswered_end(flow: &Flow, segment: &Segment, was_confirmed: bool) -> UnansweredEnd {
     if flow.has_caller_left {
         UnansweredEnd::CallerLeft
-    } else if segment.resets && !was_shown {
+    } else if segment.resets && !was_confirmed {
         UnansweredEnd::FromBefore
     } else {
         UnansweredEnd::Closed
--- a/src/opaque/flow_agent/backend_process.rs
+++ b/src/opaque/flow_agent/backend_process.rs
@@ -101,13 +101,13 @@
             context.now_ms.saturating_sub(self.last_backend_packet_ms),
             context.revision
         );
-        let mut actions = self.reset_remains(context, orphaned);
+        let mut actions = self.reset_orphaned(context, orphaned);
         self.flush_queue(context, &mut actions);
         actions
     }
 
     /// Resets the remaining flows of an ended process, and hands its openers on to other agents.
-    fn reset_remains(&self, context: &AgentContext<'_>, orphaned: OrphanedFlows) -> Vec<Action> {
+    fn reset_orphaned(&self, context: &AgentContext<'_>, orphaned: OrphanedFlows) -> Vec<Action> {
         let mut actions = Vec::new();
         for ended in orphaned.flows {
             self.reset_flow(
@@ -161,7 +161,7 @@
             context.now_ms.saturating_sub(disconnected_ms),
             context.revision
         );
-        self.reset_remains(context, orphaned)
+        self.reset_orphaned(context, orphaned)
     }
 
     /// Clears the outcomes of the previous lifetime. A process that has just started has not failed
--- a/src/opaque/flow_agent/delivery.rs
+++ b/src/opaque/flow_agent/delivery.rs
@@ -90,7 +90,7 @@
         // A packet without data begins no request.
         let must_hold_back = segment.payload_bytes > 0 && self.must_hold_back(context, &key);
         let deadline = context.directory.deadline(key.called);
-        let counts_ms = busy_timeout_ms(deadline);
+        let busy_timeout_ms = busy_timeout_ms(deadline);
         let delivery = self.flows.update(&key, now_ms, |flow| {
             let was_open = flow.state == FlowState::Open;
             if !confirm_held(flow, segment) {
@@ -112,7 +112,11 @@
                 Some(running) => running.since_ms = now_ms,
                 None if must_hold_back && was_open => return Delivery::HeldBack,
                 None => {
-                    flow.running = Some(RunningRequest::new(request_id(packet), counts_ms, now_ms))
+                    flow.running = Some(RunningRequest::new(
+                        request_id(packet),
+                        busy_timeout_ms,
+                        now_ms,
+                    ))
                 }
             }
             Delivery::HandedOver
--- a/src/opaque/flow_agent/held_back_requests.rs
+++ b/src/opaque/flow_agent/held_back_requests.rs
@@ -129,7 +129,7 @@
                 self.flows.busy_requests()
             );
         }
-        let counts_ms = busy_timeout_ms(context.directory.deadline(key.called));
+        let busy_timeout_ms = busy_timeout_ms(context.directory.deadline(key.called));
         let decode = self.wire.decode;
         let segments = packets.iter().filter_map(|packet| decode(packet).ok());
         let segments: Vec<Segment> = segments.collect();
@@ -139,7 +139,7 @@
             if flow.state == FlowState::Open && flow.running.is_none() {
                 flow.running = Some(RunningRequest::new(
                     id.as_deref(),
-                    counts_ms,
+                    busy_timeout_ms,
                     context.now_ms,
                 ));
             }
--- a/src/opaque/flow_agent/lookups.rs
+++ b/src/opaque/flow_agent/lookups.rs
@@ -26,15 +26,19 @@
         }
         let own = self.identity.host;
         let likely = || likely_holders(context, own, &segment.flow_from_caller(), FIRST_QUERIED);
-        let question = LookupPacket {
+        let lookup_packet = LookupPacket {
             segment,
             packet,
             balancer,
         };
-        let asked = self
-            .lookups
-            .start(context.directory, own, likely, &question, context.now_ms);
-        for host in asked {
+        let queried = self.lookups.start(
+            context.directory,
+            own,
+            likely,
+            &lookup_packet,
+            context.now_ms,
+        );
+        for host in queried {
             let message = Message::new(MessageKind::Find);
             actions.push(Action::ToPeer(host, message, packet.to_vec()));
         }
@@ -47,12 +51,12 @@
         context: &AgentContext<'_>,
         segment: &Segment,
         packet: &[u8],
-        asker: Ipv4Addr,
+        asking_agent: Ipv4Addr,
         actions: &mut Vec<Action>,
     ) {
         let key = segment.flow_from_caller();
         if self.deliver_held(context, segment, packet, actions) {
-            send_to_peer(MessageKind::Found, &key, asker, actions);
+            send_to_peer(MessageKind::Found, &key, asking_agent, actions);
             return;
         }
         if self.flows.get(&key).is_none() && !self.knows_all_flows && self.is_backend_up {
@@ -60,11 +64,11 @@
                 context,
                 segment,
                 packet,
-                PacketSource::AskingAgent(asker),
+                PacketSource::AskingAgent(asking_agent),
                 actions,
             );
         } else {
-            send_to_peer(MessageKind::Absent, &key, asker, actions);
+            send_to_peer(MessageKind::Absent, &key, asking_agent, actions);
         }
     }
 
@@ -98,10 +102,10 @@
         if !context.is_settled {
             return;
         }
-        let verdict = self
+        let outcome = self
             .lookups
             .outcome(key, context.directory, context.revision);
-        if let LookupOutcome::NotHeld { acknowledgement } = verdict {
+        if let LookupOutcome::NotHeld { acknowledgement } = outcome {
             let waited_ms = self.lookups.age_ms(key, context.now_ms);
             self.reset_gone_flow(context, key, acknowledgement, waited_ms, actions);
         }
--- a/tests/opaque/backend_process.rs
+++ b/tests/opaque/backend_process.rs
@@ -72,7 +72,7 @@
     for port in 1..=4 {
         agent.open(&flow(port), 500);
     }
-    assert_eq!(agent.flow_agent.busy(), 4);
+    assert_eq!(agent.flow_agent.busy_requests(), 4);
     agent.now_ms += 1_000;
     agent.flow_agent.expire(agent.now_ms);
     agent.deliver(&opener(&flow(50), 0));
@@ -82,7 +82,7 @@
     );
     agent.now_ms += 2_000;
     agent.flow_agent.expire(agent.now_ms);
-    assert_eq!(agent.flow_agent.busy(), 0);
+    assert_eq!(agent.flow_agent.busy_requests(), 0);
 }
 
 #[test]
@@ -97,9 +97,9 @@
         ..PacketSpec::default()
     };
     agent.backend(from_backend(&key, answer));
-    assert_eq!(agent.flow_agent.busy(), 0);
+    assert_eq!(agent.flow_agent.busy_requests(), 0);
     agent.deliver(&request(&key, 501));
-    assert_eq!(agent.flow_agent.busy(), 0);
+    assert_eq!(agent.flow_agent.busy_requests(), 0);
 }
 
 /// Publishes a new lifetime of the backend server beside the agent.
--- a/tests/opaque/flow_agent.rs
+++ b/tests/opaque/flow_agent.rs
@@ -281,7 +281,10 @@
     let mut agent = AgentUnderTest::new(1, true);
     agent.open(&flow(1), 500);
     assert_eq!(
-        (agent.flow_agent.busy(), agent.flow_agent.open_flows()),
+        (
+            agent.flow_agent.busy_requests(),
+            agent.flow_agent.open_flows()
+        ),
         (1, 1)
     );
     let answer = PacketSpec {
@@ -292,7 +295,10 @@
     };
     agent.backend(from_backend(&flow(1), answer));
     assert_eq!(
-        (agent.flow_agent.busy(), agent.flow_agent.open_flows()),
+        (
+            agent.flow_agent.busy_requests(),
+            agent.flow_agent.open_flows()
+        ),
         (0, 1)
     );
     let end = PacketSpec {
@@ -303,7 +309,10 @@
     };
     agent.backend(from_backend(&flow(1), end));
     assert_eq!(
-        (agent.flow_agent.busy(), agent.flow_agent.open_flows()),
+        (
+            agent.flow_agent.busy_requests(),
+            agent.flow_agent.open_flows()
+        ),
         (0, 0)
     );
 }
--- a/tests/opaque/outcomes.rs
+++ b/tests/opaque/outcomes.rs
@@ -72,7 +72,7 @@
     for port in ENDED {
         caller_leaves(&mut agent, port);
     }
-    assert_eq!(agent.flow_agent.busy(), 0);
+    assert_eq!(agent.flow_agent.busy_requests(), 0);
     assert!(takes_openers(&mut agent));
 }
 
@@ -82,7 +82,7 @@
     for port in ENDED {
         flow_from_before_is_reset(&mut agent, port);
     }
-    assert_eq!(agent.flow_agent.busy(), 0);
+    assert_eq!(agent.flow_agent.busy_requests(), 0);
     assert!(takes_openers(&mut agent));
 }
 
--- a/tests/opaque/restarts.rs
+++ b/tests/opaque/restarts.rs
@@ -40,7 +40,7 @@
     assert!(asked_reaches_backend(&mut agent, &request(&key, 7)));
     answer(&mut agent, &key, REQUEST_END);
     assert!(asked_reaches_backend(&mut agent, &request(&key, 7)));
-    assert_eq!(agent.flow_agent.busy(), 0);
+    assert_eq!(agent.flow_agent.busy_requests(), 0);
 }
 
 #[test]
@@ -49,7 +49,7 @@
     let key = flow(1);
     answer(&mut agent, &key, REQUEST_END);
     agent.deliver(&request(&key, 7));
-    assert_eq!(agent.flow_agent.busy(), 0);
+    assert_eq!(agent.flow_agent.busy_requests(), 0);
 }
 
 #[test]
@@ -64,7 +64,7 @@
         data_bytes: 40,
     };
     assert!(reaches_backend(&agent.deliver(&from_caller(&key, spec))));
-    assert_eq!(agent.flow_agent.busy(), 1);
+    assert_eq!(agent.flow_agent.busy_requests(), 1);
     let spec = PacketSpec {
         flags: ACK,
         sequence: 67,
@@ -72,5 +72,5 @@
         data_bytes: 60,
     };
     agent.backend(from_backend(&key, spec));
-    assert_eq!(agent.flow_agent.busy(), 0);
+    assert_eq!(agent.flow_agent.busy_requests(), 0);
 }
--- a/tests/opaque/stalls.rs
+++ b/tests/opaque/stalls.rs
@@ -320,7 +320,7 @@
             agent.backend(acceptance(&flow(port), 500));
             agent.deliver(&request(&flow(port), 501));
         }
-        agent.flow_agent.busy()
+        agent.flow_agent.busy_requests()
     });
     let [none, half, whole] = steps;
     assert_eq!(none, 1, "{steps:?}");
--- a/tests/opaque/waiting.rs
+++ b/tests/opaque/waiting.rs
@@ -33,7 +33,7 @@
     for port in 1..=FULL {
         agent.open(&flow(port), 500);
     }
-    assert_eq!(agent.flow_agent.busy(), u32::from(FULL));
+    assert_eq!(agent.flow_agent.busy_requests(), u32::from(FULL));
     agent
 }
 
