--- a/src/quic/agent.rs
+++ b/src/quic/agent.rs
@@ -1,4 +1,4 @@
-//! The agent: the final arbiter of flows and requests for the targets on its host.
+//! The agent, which makes the final decision on flows and requests for the targets on its host.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -20,64 +20,66 @@
 use crate::quic::quic_endpoint;
 use crate::quic::return_path::ReturnPath;
 use crate::quic::target::Target;
-use crate::quic::token_source::SharedRing;
+use crate::quic::token_generator::SharedKeyRing;
 
-/// An agent with its targets.
+/// The state of an agent: its targets, sockets and keys.
 pub(crate) struct Agent {
     pub(crate) control: Rc<ControlPlane>,
     pub(crate) targets: RefCell<Vec<Rc<Target>>>,
-    pub(crate) ring: SharedRing,
-    pub(crate) exchange_turn: Cell<usize>,
-    pub(crate) key: EnvelopeKey,
+    pub(crate) key_ring: SharedKeyRing,
+    pub(crate) next_exchange_index: Cell<usize>,
+    pub(crate) envelope_key: EnvelopeKey,
     pub(crate) reset_key: ring::hmac::Key,
-    pub(crate) server: ServerConfig,
+    pub(crate) server_config: ServerConfig,
     pub(crate) socket: UdpSocket,
-    pub(crate) flows: RefCell<Vec<Rc<FlowSocket>>>,
+    pub(crate) flow_sockets: RefCell<Vec<Rc<FlowSocket>>>,
     pub(crate) return_path: RefCell<ReturnPath>,
     pub(crate) revision_puller: RevisionPuller,
 }
 
 impl Agent {
-    /// Makes the agent and binds its datagram socket.
+    /// Creates the agent and binds its datagram socket.
     pub(crate) fn new(control: &Rc<ControlPlane>) -> Result<Rc<Self>> {
         let settings = &control.settings;
         let address = SocketAddr::from((settings.host, settings.datagram_port));
-        let ring = control.store.borrow().key_ring().clone();
+        let key_ring = control.store.borrow().key_ring().clone();
         Ok(Rc::new(Self {
             targets: RefCell::default(),
-            ring: Arc::new(RwLock::new(ring)),
-            exchange_turn: Cell::new(0),
-            key: EnvelopeKey::new(&settings.cluster_key),
+            key_ring: Arc::new(RwLock::new(key_ring)),
+            next_exchange_index: Cell::new(0),
+            envelope_key: EnvelopeKey::new(&settings.cluster_key),
             reset_key: settings.cluster_key.reset_key(),
-            server: quic_endpoint::server_config(settings)?,
+            server_config: quic_endpoint::server_config(settings)?,
             socket: udp::bind(address)?,
-            flows: RefCell::default(),
+            flow_sockets: RefCell::default(),
             return_path: RefCell::default(),
             revision_puller: RevisionPuller::new(control),
             control: control.clone(),
         }))
     }
 
-    /// Does something with each target; targets may change meanwhile.
+    /// Calls `action` with each target. The list is cloned, so that `action` may change the
+    /// targets.
     pub(crate) fn for_each_target(&self, action: impl Fn(&Rc<Target>)) {
         let targets = self.targets.borrow().clone();
         targets.iter().for_each(action);
     }
 
-    /// Returns the target of a service, if this host serves one.
+    /// Returns this host's target of a service.
     pub(crate) fn target(&self, service: ServiceId) -> Option<Rc<Target>> {
         let targets = self.targets.borrow();
         let index = targets.binary_search_by_key(&service, |target| target.service);
         index.ok().map(|index| targets[index].clone())
     }
 
-    /// Opens a ticket for a request of `service`.
+    /// Decrypts a ticket of `service`. Returns `None` if it is invalid.
     pub(crate) fn open_ticket(&self, service: ServiceId, ticket: &[u8]) -> Option<SealedId> {
         let store = self.control.store.borrow();
         SealedId::open(store.key_ring(), SealedIdKind::Ticket, service, ticket)
     }
 
-    /// Issues a ticket of this incarnation.
+    /// Issues a ticket that binds one request to this incarnation. Returns `None` if the ledger has
+    /// no tickets left.
     pub(crate) fn issue_ticket(&self, target: &Target) -> Option<SealedBytes> {
         let ticket = SealedId {
             host: target.host,
@@ -89,28 +91,28 @@
         Some(ticket.seal(store.key_ring(), SealedIdKind::Ticket, rand::random()))
     }
 
-    /// Tells whether a token or ticket was issued by this incarnation.
-    pub(crate) fn is_own(&self, id: &SealedId) -> bool {
+    /// Returns whether this incarnation issued the token or ticket.
+    pub(crate) fn is_issued_here(&self, id: &SealedId) -> bool {
         id.host == self.control.settings.host && id.incarnation == self.control.incarnation
     }
 
-    /// Returns how many flows are open at all targets.
+    /// Returns the number of open flows of all targets.
     pub(crate) fn open_flows(&self) -> u32 {
         let targets = self.targets.borrow();
-        let open = |target: &Rc<Target>| target.admission.borrow().open_flows();
-        targets.iter().map(open).sum()
+        let open_flows = |target: &Rc<Target>| target.admission.borrow().open_flows();
+        targets.iter().map(open_flows).sum()
     }
 
-    /// Returns the whole state for a dump.
+    /// Returns the state dump.
     pub(crate) fn state(&self) -> Value {
         let now_ms = self.control.now_ms();
         let targets: Vec<Value> = self.targets.borrow().iter().map(|t| t.state()).collect();
         let balancers = self.return_path.borrow().ages_ms(now_ms);
-        let heard = |(host, age_ms)| json!({"host": host, "age_ms": age_ms});
+        let balancer_json = |(host, age_ms)| json!({"host": host, "age_ms": age_ms});
         let mut state = self.control.state("agent");
         state["targets"] = Value::from(targets);
-        state["flow_sockets"] = json!(self.flows.borrow().len());
-        state["balancers"] = balancers.into_iter().map(heard).collect();
+        state["flow_sockets"] = json!(self.flow_sockets.borrow().len());
+        state["balancers"] = balancers.into_iter().map(balancer_json).collect();
         state["packets"] = self.control.metrics.packet_counts();
         state
     }
--- a/src/quic/agent_datagrams.rs
+++ b/src/quic/agent_datagrams.rs
@@ -1,4 +1,5 @@
-//! What an agent does with datagrams: openers are decided, flows are fed, answers go back.
+//! The datagram path of an agent: it decides on openers, delivers packets to flows and forwards
+//! answers to balancers.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::rc::Rc;
@@ -19,7 +20,7 @@
 use crate::quic::stateless_reset::stateless_reset;
 use crate::quic::target::Target;
 
-/// How many sockets an agent keeps beyond the connections that its rows allow.
+/// The number of flow sockets that an agent may open beyond the connections that its rows allow.
 const SPARE_FLOW_SOCKETS: usize = 1_024;
 
 /// An opener that has arrived in an envelope.
@@ -41,8 +42,8 @@
 }
 
 impl Agent {
-    /// Takes envelopes forever.
-    pub(crate) async fn take_envelopes(self: &Rc<Self>) {
+    /// Receives datagrams from balancers and peers forever.
+    pub(crate) async fn receive_datagrams(self: &Rc<Self>) {
         let mut buffer = Vec::with_capacity(BUFFER_BYTES);
         loop {
             buffer.clear();
@@ -52,14 +53,14 @@
                 continue;
             };
             self.control.metrics.packets_in.inc();
-            if let Err(error) = self.take_envelope(&buffer, sender).await {
+            if let Err(error) = self.handle_datagram(&buffer, sender).await {
                 self.control.metrics.packets_dropped.inc(error.code);
             }
         }
     }
 
-    async fn take_envelope(self: &Rc<Self>, datagram: &[u8], sender: SocketAddr) -> Result<()> {
-        let (envelope, packet) = self.key.open(datagram)?;
+    async fn handle_datagram(self: &Rc<Self>, datagram: &[u8], sender: SocketAddr) -> Result<()> {
+        let (envelope, packet) = self.envelope_key.open(datagram)?;
         let now_ms = self.control.now_ms();
         match envelope.kind {
             EnvelopeKind::Leaving => {
@@ -69,7 +70,7 @@
             EnvelopeKind::Outbound => {
                 return Err(Error::new(
                     Code::EnvelopeForged,
-                    "an answer sent to an agent",
+                    "an agent received an outbound envelope",
                 ));
             }
             EnvelopeKind::Inbound | EnvelopeKind::Deflected | EnvelopeKind::Returned => {}
@@ -83,9 +84,14 @@
         let unknown = || Error::new(Code::ServiceUnknown, envelope.service.to_string());
         let target = target.ok_or_else(unknown)?;
         let view = packet::parse(packet)?;
-        match self.token(&view, envelope.service) {
-            Some(token) if self.is_own(&token) => self.deliver(&target, &envelope, packet).await,
-            Some(_) => self.reset(&envelope, &view, packet.len()).await,
+        match self.open_token(&view, envelope.service) {
+            Some(token) if self.is_issued_here(&token) => {
+                self.deliver(&target, &envelope, packet).await
+            }
+            Some(_) => {
+                self.send_stateless_reset(&envelope, &view, packet.len())
+                    .await
+            }
             None if view.may_open => {
                 let arrived = ArrivedOpener {
                     envelope: &envelope,
@@ -93,18 +99,23 @@
                     packet,
                     sender,
                 };
-                self.take_opener(&target, &arrived).await
+                self.handle_opener(&target, &arrived).await
             }
-            None => Err(Error::new(Code::PacketUnroutable, "no token")),
+            None => Err(Error::new(Code::PacketUnroutable, "no valid routing token")),
         }
     }
 
-    fn token(&self, view: &PacketView<'_>, service: ServiceId) -> Option<SealedId> {
+    fn open_token(&self, view: &PacketView<'_>, service: ServiceId) -> Option<SealedId> {
         let store = self.control.store.borrow();
-        SealedId::open(store.key_ring(), SealedIdKind::Token, service, view.id)
+        SealedId::open(
+            store.key_ring(),
+            SealedIdKind::Token,
+            service,
+            view.connection_id,
+        )
     }
 
-    async fn take_opener(
+    async fn handle_opener(
         self: &Rc<Self>,
         target: &Rc<Target>,
         arrived: &ArrivedOpener<'_>,
@@ -123,16 +134,18 @@
         match self.decide(target, &opener) {
             Decision::Deflect(host) => {
                 self.control.metrics.flows_deflected.inc();
-                self.hand_on(arrived, EnvelopeKind::Deflected, host).await;
+                self.hand_on_opener(arrived, EnvelopeKind::Deflected, host)
+                    .await;
                 Ok(())
             }
             Decision::Return => {
                 if let IpAddr::V4(owner) = arrived.sender.ip() {
-                    self.hand_on(arrived, EnvelopeKind::Returned, owner).await;
+                    self.hand_on_opener(arrived, EnvelopeKind::Returned, owner)
+                        .await;
                 }
                 Ok(())
             }
-            // The endpoint answers a refused opener too, with a refusal that QUIC defines.
+            // A refused opener is delivered too, since the endpoint answers it with QUIC's refusal.
             Decision::Accept | Decision::Refuse(_) => {
                 self.deliver(target, arrived.envelope, arrived.packet).await
             }
@@ -150,7 +163,12 @@
         admission.decide(opener, table, &mut peer_loads, now_ms, &mut rand::rng())
     }
 
-    async fn hand_on(&self, arrived: &ArrivedOpener<'_>, kind: EnvelopeKind, host: Ipv4Addr) {
+    async fn hand_on_opener(
+        &self,
+        arrived: &ArrivedOpener<'_>,
+        kind: EnvelopeKind,
+        host: Ipv4Addr,
+    ) {
         let envelope = Envelope {
             kind,
             ..*arrived.envelope
@@ -165,54 +183,57 @@
         packet: &[u8],
     ) -> Result<()> {
         let key = (envelope.caller, envelope.service);
-        let flow = match self.flow(&key) {
+        let flow = match self.flow_socket(&key) {
             Some(flow) => flow,
-            None => self.open_flow(key, target, envelope.balancer).await?,
+            None => {
+                self.open_flow_socket(key, target, envelope.balancer)
+                    .await?
+            }
         };
-        flow.heard(envelope.balancer, self.control.now_ms());
+        flow.record_packet(envelope.balancer, self.control.now_ms());
         flow.deliver(packet.to_vec()).await;
         Ok(())
     }
 
-    fn flow(&self, key: &FlowKey) -> Option<Rc<FlowSocket>> {
-        let flows = self.flows.borrow();
+    fn flow_socket(&self, key: &FlowKey) -> Option<Rc<FlowSocket>> {
+        let flows = self.flow_sockets.borrow();
         let index = flows.binary_search_by_key(key, |flow| flow.key);
         index.ok().map(|index| flows[index].clone())
     }
 
-    async fn open_flow(
+    async fn open_flow_socket(
         self: &Rc<Self>,
         key: FlowKey,
         target: &Rc<Target>,
         balancer: Ipv4Addr,
     ) -> Result<Rc<FlowSocket>> {
-        if self.flows.borrow().len() >= self.flow_limit() {
-            return Err(Error::new(Code::NoTarget, "too many callers"));
+        if self.flow_sockets.borrow().len() >= self.max_flow_sockets() {
+            return Err(Error::new(Code::NoTarget, "too many flow sockets are open"));
         }
         let flow = FlowSocket::open(key, target.endpoint_address, balancer).await?;
-        let mut flows = self.flows.borrow_mut();
+        let mut flows = self.flow_sockets.borrow_mut();
         let index = flows.partition_point(|known| known.key < key);
         flows.insert(index, flow.clone());
         drop(flows);
         let agent = self.clone();
         let weak = Rc::downgrade(&flow);
         let socket = flow.socket.clone();
-        flow.set_receiver(compio::runtime::spawn(async move {
-            agent.hand_back(&socket, weak).await;
+        flow.set_answer_task(compio::runtime::spawn(async move {
+            agent.forward_answers(&socket, weak).await;
         }));
         Ok(flow)
     }
 
-    fn flow_limit(&self) -> usize {
+    fn max_flow_sockets(&self) -> usize {
         let targets = self.targets.borrow();
         let allowed: usize = targets
             .iter()
-            .map(|target| target.connections.get() as usize)
+            .map(|target| target.max_connections.get() as usize)
             .sum();
         allowed + SPARE_FLOW_SOCKETS
     }
 
-    async fn hand_back(&self, socket: &UdpSocket, flow: std::rc::Weak<FlowSocket>) {
+    async fn forward_answers(&self, socket: &UdpSocket, flow: std::rc::Weak<FlowSocket>) {
         let mut buffer = Vec::with_capacity(BUFFER_BYTES);
         loop {
             buffer.clear();
@@ -224,26 +245,26 @@
             let Some(flow) = flow.upgrade() else {
                 return;
             };
-            flow.last_ms.set(self.control.now_ms());
-            buffer = self.answer(buffer, &flow).await;
+            flow.last_packet_ms.set(self.control.now_ms());
+            buffer = self.forward_answer(buffer, &flow).await;
         }
     }
 
-    async fn answer(&self, buffer: Vec<u8>, flow: &FlowSocket) -> Vec<u8> {
-        let balancer = self.answering_balancer(flow.last_balancer.get());
+    async fn forward_answer(&self, buffer: Vec<u8>, flow: &FlowSocket) -> Vec<u8> {
+        let balancer = self.choose_balancer(flow.last_balancer.get());
         let revision = self.control.store.borrow().digest().highest;
         let envelope = flow.envelope(balancer, revision);
         self.send(buffer, &envelope, balancer).await
     }
 
-    fn answering_balancer(&self, last: Ipv4Addr) -> Ipv4Addr {
+    fn choose_balancer(&self, last: Ipv4Addr) -> Ipv4Addr {
         let listed = self.control.entry_hosts();
         let now_ms = self.control.now_ms();
         self.return_path.borrow_mut().choose(last, now_ms, &listed)
     }
 
     async fn send(&self, mut buffer: Vec<u8>, envelope: &Envelope, host: Ipv4Addr) -> Vec<u8> {
-        self.key.append(&mut buffer, envelope);
+        self.envelope_key.append(&mut buffer, envelope);
         let address = SocketAddr::from((host, self.control.settings.datagram_port));
         let BufResult(result, buffer) = self.socket.send_to(buffer, address).await;
         if result.is_ok() {
@@ -252,14 +273,20 @@
         buffer
     }
 
-    /// Ends a flow of an earlier incarnation or another host at once, instead of by a timeout.
-    async fn reset(
+    /// Ends a flow of an earlier incarnation or another host at once, so that the caller need not
+    /// wait for a timeout.
+    async fn send_stateless_reset(
         &self,
         envelope: &Envelope,
         view: &PacketView<'_>,
         received_bytes: usize,
     ) -> Result<()> {
-        let reset = stateless_reset(&self.reset_key, view.id, received_bytes, &mut rand::rng());
+        let reset = stateless_reset(
+            &self.reset_key,
+            view.connection_id,
+            received_bytes,
+            &mut rand::rng(),
+        );
         if let Some(reset) = reset {
             self.control.metrics.stateless_resets.inc();
             let outbound = Envelope {
@@ -268,6 +295,9 @@
             };
             self.send(reset, &outbound, envelope.balancer).await;
         }
-        Err(Error::new(Code::TokenForeign, "of another incarnation"))
+        Err(Error::new(
+            Code::TokenForeign,
+            "the token was issued by another incarnation",
+        ))
     }
 }
--- a/src/quic/agent_run.rs
+++ b/src/quic/agent_lifecycle.rs
@@ -1,4 +1,4 @@
-//! How an agent runs: its timers, its targets as the tables ask for them, and its end.
+//! The lifecycle of an agent: its timers, the targets that the tables assign to it, and its drain.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -10,16 +10,16 @@
 use crate::quic::agent::Agent;
 use crate::quic::flow_socket::{FLOW_IDLE_MS, FlowSocket};
 use crate::quic::target::Target;
-use crate::quic::token_source::TokenSource;
+use crate::quic::token_generator::TokenGenerator;
 use crate::quic::{flow, load_exchange, quic_endpoint};
 
-/// How often an agent tidies what it remembers, in milliseconds.
+/// The interval at which an agent removes expired state, in milliseconds.
 const PRUNE_PERIOD_MS: u64 = 1_000;
-/// How often the part of the requests that moves is adjusted, in milliseconds.
-const BALANCE_PERIOD_MS: u64 = 1_000;
-/// How often requests that wait are checked against their deadlines, in milliseconds.
+/// The interval at which the fraction of moved requests is adjusted, in milliseconds.
+const ADJUST_PERIOD_MS: u64 = 1_000;
+/// The interval at which queued requests and reservations are checked for expiry, in milliseconds.
 const EXPIRE_PERIOD_MS: u64 = 20;
-/// How often a leaving agent looks whether its last flow has ended.
+/// The interval at which a draining agent checks whether its last flow has ended.
 const DRAIN_POLL: Duration = Duration::from_millis(50);
 
 impl Agent {
@@ -28,18 +28,18 @@
         self.subscribe();
         self.apply_keys();
         self.sync_targets().await;
-        let receiver = self.clone();
-        let envelopes = compio::runtime::spawn(async move { receiver.take_envelopes().await });
+        let agent = self.clone();
+        let receive_task = compio::runtime::spawn(async move { agent.receive_datagrams().await });
         stop.await;
         self.drain().await;
-        drop(envelopes);
+        drop(receive_task);
         Ok(())
     }
 
     fn subscribe(self: &Rc<Self>) {
         let agent = self.clone();
         self.control
-            .on_change(move |names| agent.clone().values_changed(names));
+            .on_change(move |names| agent.clone().apply_changed_values(names));
         let agent = self.clone();
         let timers = &self.control.timers;
         timers.every(PRUNE_PERIOD_MS, move || agent.prune());
@@ -51,11 +51,11 @@
             });
         });
         let agent = self.clone();
-        timers.every(load_exchange::PERIOD_MS, move || {
+        timers.every(load_exchange::EXCHANGE_PERIOD_MS, move || {
             load_exchange::start_next(&agent)
         });
         let agent = self.clone();
-        timers.every(BALANCE_PERIOD_MS, move || agent.balance());
+        timers.every(ADJUST_PERIOD_MS, move || agent.adjust_moved_fractions());
         let agent = self.clone();
         timers.on_resume(move || {
             agent.for_each_target(|target| {
@@ -65,37 +65,37 @@
         });
     }
 
-    fn balance(&self) {
+    fn adjust_moved_fractions(&self) {
         let store = self.control.store.borrow();
         self.for_each_target(|target| {
             if let Some(table) = store.table(target.service) {
-                target.balance(table, BALANCE_PERIOD_MS);
+                target.adjust_moved_fraction(table, ADJUST_PERIOD_MS);
             }
         });
     }
 
-    fn values_changed(self: Rc<Self>, names: &[&str]) {
+    fn apply_changed_values(self: Rc<Self>, names: &[&str]) {
         if names.contains(&KEYS_NAME) {
             self.apply_keys();
         }
-        let moves_targets = |name: &&str| *name == HOSTS_NAME || name.starts_with(TABLE_PREFIX);
-        if names.iter().any(moves_targets) {
+        let affects_targets = |name: &&str| *name == HOSTS_NAME || name.starts_with(TABLE_PREFIX);
+        if names.iter().any(affects_targets) {
             compio::runtime::spawn(async move { self.sync_targets().await }).detach();
         }
     }
 
     fn apply_keys(&self) {
-        let ring = self.control.store.borrow().key_ring().clone();
-        let mut held = self
-            .ring
+        let key_ring = self.control.store.borrow().key_ring().clone();
+        let mut shared = self
+            .key_ring
             .write()
             .unwrap_or_else(|poisoned| poisoned.into_inner());
-        *held = ring;
+        *shared = key_ring;
     }
 
-    /// Brings targets, limits and drains in line with the tables and the host list in force.
+    /// Updates targets, limits and drains to the tables and the host list in force.
     async fn sync_targets(self: &Rc<Self>) {
-        for (table, row) in self.own_rows() {
+        for (table, row) in self.local_rows() {
             if self.target(table.service_id()).is_none()
                 && let Err(error) = self.add_target(&table, &row).await
             {
@@ -103,29 +103,32 @@
                 log::error!("event=target_failed service={service} error={error}");
             }
         }
-        let leaves = self.host_leaves();
+        let is_leaving = self.is_host_leaving();
         let targets = self.targets.borrow().clone();
         for target in &targets {
             let changed = {
                 let store = self.control.store.borrow();
                 let table = store.table(target.service);
-                target.apply(table.and_then(|table| table.row_on(target.host)), leaves)
+                target.apply_row(
+                    table.and_then(|table| table.row_on(target.host)),
+                    is_leaving,
+                )
             };
             if changed {
-                // Peers learn of a drain now, not when chance picks them.
-                load_exchange::introduce(self, target);
+                // Every peer gets the new state at once, instead of by the next random exchange.
+                load_exchange::exchange_with_all_peers(self, target);
             }
         }
     }
 
-    fn own_rows(&self) -> Vec<(Table, TableRow)> {
+    fn local_rows(&self) -> Vec<(Table, TableRow)> {
         let store = self.control.store.borrow();
         let host = self.control.settings.host;
-        let own = |table: &Table| Some((table.clone(), table.row_on(host)?.clone()));
-        store.tables().filter_map(own).collect()
+        let local = |table: &Table| Some((table.clone(), table.row_on(host)?.clone()));
+        store.tables().filter_map(local).collect()
     }
 
-    fn host_leaves(&self) -> bool {
+    fn is_host_leaving(&self) -> bool {
         let store = self.control.store.borrow();
         let host = store.hosts().get(self.control.settings.host);
         host.is_some_and(|host| host.state == HostState::Leaving)
@@ -133,15 +136,17 @@
 
     async fn add_target(self: &Rc<Self>, table: &Table, row: &TableRow) -> Result<()> {
         let service = table.service_id();
-        let (ring, host) = (self.ring.clone(), row.host);
+        let (key_ring, host) = (self.key_ring.clone(), row.host);
         let incarnation = self.control.incarnation;
-        let tokens = move || TokenSource {
-            ring: ring.clone(),
+        let token_generator = move || TokenGenerator {
+            key_ring: key_ring.clone(),
             host,
             incarnation,
             service,
         };
-        let endpoint = quic_endpoint::open(&self.control.settings, &self.server, tokens).await?;
+        let endpoint =
+            quic_endpoint::open(&self.control.settings, &self.server_config, token_generator)
+                .await?;
         let target = Target::new(table, row, endpoint, self.control.clock, incarnation)?;
         let mut targets = self.targets.borrow_mut();
         match targets.binary_search_by_key(&service, |target| target.service) {
@@ -155,7 +160,7 @@
             table.service,
             row.target
         );
-        load_exchange::introduce(self, &target);
+        load_exchange::exchange_with_all_peers(self, &target);
         compio::runtime::spawn(flow::accept_flows(self.clone(), target)).detach();
         Ok(())
     }
@@ -167,14 +172,15 @@
             target.peer_loads.borrow_mut().prune(now_ms);
         });
         self.return_path.borrow_mut().prune(now_ms, FLOW_IDLE_MS);
-        let idle = |flow: &FlowSocket| now_ms.saturating_sub(flow.last_ms.get()) > FLOW_IDLE_MS;
-        self.flows.borrow_mut().retain(|flow| !idle(flow));
+        let is_idle =
+            |flow: &FlowSocket| now_ms.saturating_sub(flow.last_packet_ms.get()) > FLOW_IDLE_MS;
+        self.flow_sockets.borrow_mut().retain(|flow| !is_idle(flow));
     }
 
     async fn drain(self: &Rc<Self>) {
         self.for_each_target(|target| {
             if target.set_draining(true) {
-                load_exchange::introduce(self, target);
+                load_exchange::exchange_with_all_peers(self, target);
             }
         });
         let limit_ms = self.control.now_ms() + self.control.settings.drain_limit_s * 1_000;
--- a/src/quic/answer.rs
+++ b/src/quic/answer.rs
@@ -14,13 +14,13 @@
 /// The body of an answer.
 #[derive(Debug)]
 pub(crate) enum AnswerBody {
-    /// All of it.
+    /// The complete body.
     Whole(Bytes),
-    /// What the backend server still sends.
+    /// A body that the backend server is still sending.
     Stream(Incoming),
 }
 
-/// A final answer: what became of the request, and when to come back if it did not run.
+/// A final answer: the outcome of the request, and when to retry if it did not run.
 pub(crate) struct Answer {
     pub(crate) code: Code,
     pub(crate) status: u16,
@@ -28,19 +28,19 @@
     pub(crate) body: AnswerBody,
     pub(crate) retry_after_ms: u32,
     pub(crate) ticket: Option<SealedBytes>,
-    /// The slot that the answer holds until its last byte is sent.
+    /// The slot, which is held until the last byte of the answer is sent.
     pub(crate) slot: Option<SlotGuard>,
 }
 
 impl Answer {
-    /// Makes the answer to a request that did not run or whose outcome is unknown.
+    /// Creates the answer to a request that did not run or whose outcome is unknown.
     pub(crate) fn refusal(code: Code, retry_after_ms: u32) -> Self {
         let text = format!("{} {} ({})\n", code.number(), code.meaning(), code.remedy());
         let mut headers = HeaderMap::new();
         headers.insert(CONTENT_TYPE, HeaderValue::from_static("text/plain"));
         Self {
             code,
-            status: status(code).as_u16(),
+            status: http_status(code).as_u16(),
             headers,
             body: AnswerBody::Whole(text.into()),
             retry_after_ms,
@@ -49,13 +49,13 @@
         }
     }
 
-    /// Gives the caller a ticket for its next try.
+    /// Adds a ticket for the caller's next attempt.
     pub(crate) fn with_ticket(mut self, ticket: Option<SealedBytes>) -> Self {
         self.ticket = ticket;
         self
     }
 
-    /// Returns the head as it is sent to the caller.
+    /// Returns the response head that is sent to the caller.
     pub(crate) fn head(&self) -> Response<()> {
         let mut response = Response::new(());
         let status = StatusCode::from_u16(self.status);
@@ -67,12 +67,12 @@
             headers.insert(CONTENT_LENGTH, body.len().into());
         }
         if self.retry_after_ms > 0 {
-            // The header counts whole seconds, so a wait is never told shorter than it is.
+            // The header holds whole seconds; rounding up never shortens the wait.
             headers.insert(RETRY_AFTER, self.retry_after_ms.div_ceil(1_000).into());
         }
         if let Some(ticket) = &self.ticket {
             let ticket = HeaderValue::from_str(&hex::encode(ticket));
-            headers.extend(ticket.map(|ticket| (ticket_name(), ticket)));
+            headers.extend(ticket.map(|ticket| (ticket_header(), ticket)));
         }
         response
     }
@@ -84,12 +84,12 @@
     }
 }
 
-fn ticket_name() -> http::HeaderName {
+fn ticket_header() -> http::HeaderName {
     http::HeaderName::from_static(TICKET_HEADER)
 }
 
-/// Returns the HTTP status that goes with a code of our own.
-fn status(code: Code) -> StatusCode {
+/// Returns the HTTP status of a result code.
+fn http_status(code: Code) -> StatusCode {
     match code {
         Code::TicketNeeded => StatusCode::PRECONDITION_REQUIRED,
         Code::TicketSpent | Code::InProgress => StatusCode::CONFLICT,
--- a/src/quic/run_once.rs
+++ b/src/quic/at_most_once.rs
@@ -1,4 +1,5 @@
-//! Requests that may not be repeated: bound by their ticket to the incarnation that may run them.
+//! Requests that may not be repeated. A ticket binds such a request to one incarnation of an agent,
+//! whose ledger ensures that it runs at most once.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,13 +15,13 @@
 use crate::quic::agent::Agent;
 use crate::quic::answer::{Answer, AnswerBody};
 use crate::quic::caller_body::CallerBody;
-use crate::quic::local_run::{self, LocalRequest, Outcome, WholeAnswer};
-use crate::quic::move_request::{self, Moved};
-use crate::quic::repeatable::{self, Place};
+use crate::quic::local_request::{self, LocalRequest, RunOutcome, WholeAnswer};
+use crate::quic::moved_request::{self, PeerRunOutcome};
+use crate::quic::repeatable::{self, RunLocation};
 use crate::quic::request_context::{RequestContext, ticket_for};
 use crate::quic::target::Target;
 
-/// Answers a request with a ticket, here or at the incarnation that the ticket names.
+/// Answers a request with a ticket, locally or at the incarnation that issued the ticket.
 pub(crate) async fn answer(
     context: &RequestContext<'_>,
     ticket: SealedBytes,
@@ -28,13 +29,13 @@
 ) -> Answer {
     match context.agent.open_ticket(context.target.service, &ticket) {
         None => Answer::refusal(Code::BadRequest, 0).with_ticket(ticket_for(context)),
-        Some(id) if context.agent.is_own(&id) => run_here(context, id.nonce, body).await,
+        Some(id) if context.agent.is_issued_here(&id) => run_locally(context, id.nonce, body).await,
         Some(id) if id.host == context.target.host => Answer::refusal(Code::IncarnationGone, 0),
-        Some(id) => run_there(context, &id, &ticket, body).await,
+        Some(id) => run_at_issuer(context, &id, &ticket, body).await,
     }
 }
 
-async fn run_there(
+async fn run_at_issuer(
     context: &RequestContext<'_>,
     id: &SealedId,
     ticket: &SealedBytes,
@@ -46,7 +47,7 @@
     let Some(whole) = whole else {
         return Answer::refusal(Code::OutcomeUnknown, 0);
     };
-    let request = move_request::peer_request(context, whole);
+    let request = moved_request::peer_request(context, whole);
     match context
         .agent
         .control
@@ -54,25 +55,25 @@
         .run(id.host, ticket, &request)
         .await
     {
-        Ok(answer) => move_request::peer_answer(answer).with_ticket(ticket_for(context)),
+        Ok(answer) => moved_request::peer_answer(answer).with_ticket(ticket_for(context)),
         Err(_) => Answer::refusal(Code::IncarnationGone, 0),
     }
 }
 
-async fn run_here(context: &RequestContext<'_>, counter: u32, body: CallerBody) -> Answer {
+async fn run_locally(context: &RequestContext<'_>, counter: u32, body: CallerBody) -> Answer {
     let begin = context
         .target
         .ledger
         .borrow_mut()
         .begin(counter, context.spec.digest);
     match begin {
-        BeginOutcome::Run => begin_run(context, counter, body).await,
+        BeginOutcome::Run => run_new(context, counter, body).await,
         BeginOutcome::Answered(kept) => kept_answer(kept),
-        BeginOutcome::Reject(code) => stopped(context, code),
+        BeginOutcome::Reject(code) => rejected_answer(context, code),
     }
 }
 
-fn stopped(context: &RequestContext<'_>, code: Code) -> Answer {
+fn rejected_answer(context: &RequestContext<'_>, code: Code) -> Answer {
     let retry_after_ms = match code {
         Code::InProgress => context.target.slots.retry_after_ms(),
         _ => 0,
@@ -85,29 +86,33 @@
     Answer::refusal(code, retry_after_ms).with_ticket(ticket)
 }
 
-async fn begin_run(context: &RequestContext<'_>, counter: u32, body: CallerBody) -> Answer {
+async fn run_new(context: &RequestContext<'_>, counter: u32, body: CallerBody) -> Answer {
     let entry = LedgerEntry::new(context.target, counter);
     let whole = body.whole().cloned();
-    let place = repeatable::place(context);
-    if let Some(whole) = whole.as_ref().filter(|_| place != Place::Here) {
-        match move_request::run_at_peer(context, whole).await {
-            Moved::Answered(answer) => return entry.conclude_moved(answer),
-            Moved::Unknown => return entry.lose(Code::OutcomeUnknown),
-            Moved::NotRun => {}
+    let location = repeatable::choose_location(context);
+    if let Some(whole) = whole.as_ref().filter(|_| location != RunLocation::Local) {
+        match moved_request::run_at_peer(context, whole).await {
+            PeerRunOutcome::Answered(answer) => return entry.conclude_peer_answer(answer),
+            PeerRunOutcome::Unknown => return entry.conclude_unknown(Code::OutcomeUnknown),
+            PeerRunOutcome::NotRun => {}
         }
     }
-    if place == Place::PeerOnly {
+    if location == RunLocation::PeerOnly {
         return entry
-            .refuse(repeatable::no_peer())
+            .conclude_refused(repeatable::no_peer_refusal())
             .with_ticket(ticket_for(context));
     }
     let slot = match context.target.slots.acquire(context.deadline_ms).await {
         Ok(slot) => slot,
-        Err(refusal) => return entry.refuse(refusal).with_ticket(ticket_for(context)),
+        Err(refusal) => {
+            return entry
+                .conclude_refused(refusal)
+                .with_ticket(ticket_for(context));
+        }
     };
     let request = context.local_request(body);
     let answer = run_detached(context.agent, request, slot, entry);
-    match compio::time::timeout(Duration::from_millis(context.left_ms()), answer).await {
+    match compio::time::timeout(Duration::from_millis(context.remaining_ms()), answer).await {
         Ok(Some(answer)) => {
             let ticket = if answer.code.is_not_run() {
                 ticket_for(context)
@@ -121,7 +126,7 @@
     }
 }
 
-/// Runs the request in a task of its own, so that the ledger learns the outcome even if the caller
+/// Runs the request in a separate task, so that the ledger records the outcome even if the caller
 /// leaves or its deadline passes.
 async fn run_detached(
     agent: &Agent,
@@ -132,19 +137,20 @@
     let (sender, receiver) = oneshot::channel();
     let clock = agent.control.clock;
     compio::runtime::spawn(async move {
-        let outcome = local_run::run(request, slot, clock).await;
-        // The caller may have gone; the ledger keeps the outcome for its next try.
+        let outcome = local_request::run(request, slot, clock).await;
+        // If the caller has left, the ledger keeps the outcome for its next attempt.
         let _ = sender.send(entry.conclude(outcome));
     })
     .detach();
     receiver.await.ok()
 }
 
-/// A ledger entry that is running; a task that is dropped on the way leaves the outcome unknown.
+/// The ledger entry of a running request. If it is dropped before the request has concluded, the
+/// outcome is recorded as unknown.
 pub(crate) struct LedgerEntry {
     target: Rc<Target>,
     counter: u32,
-    concluded: bool,
+    is_concluded: bool,
 }
 
 impl LedgerEntry {
@@ -152,18 +158,18 @@
         Self {
             target: target.clone(),
             counter,
-            concluded: false,
+            is_concluded: false,
         }
     }
 
-    pub(crate) fn refuse(mut self, refusal: Refusal) -> Answer {
-        self.concluded = true;
+    pub(crate) fn conclude_refused(mut self, refusal: Refusal) -> Answer {
+        self.is_concluded = true;
         self.target.ledger.borrow_mut().record_refusal(self.counter);
         refusal.into()
     }
 
-    pub(crate) fn lose(mut self, code: Code) -> Answer {
-        self.concluded = true;
+    pub(crate) fn conclude_unknown(mut self, code: Code) -> Answer {
+        self.is_concluded = true;
         self.target
             .ledger
             .borrow_mut()
@@ -171,16 +177,17 @@
         Answer::refusal(code, 0)
     }
 
-    pub(crate) fn conclude(self, outcome: Outcome) -> Answer {
+    /// Records the outcome in the ledger and returns the answer to the caller.
+    pub(crate) fn conclude(self, outcome: RunOutcome) -> Answer {
         match outcome {
-            Outcome::NotRun(refusal) => self.refuse(refusal),
-            Outcome::Unknown(code) => self.lose(code),
-            Outcome::Answered(answer) => self.finish(answer),
+            RunOutcome::NotRun(refusal) => self.conclude_refused(refusal),
+            RunOutcome::Unknown(code) => self.conclude_unknown(code),
+            RunOutcome::Answered(answer) => self.conclude_answered(answer),
         }
     }
 
-    fn finish(mut self, answer: WholeAnswer) -> Answer {
-        self.concluded = true;
+    fn conclude_answered(mut self, answer: WholeAnswer) -> Answer {
+        self.is_concluded = true;
         let kept = KeptAnswer {
             status: answer.status,
             content_type: content_type(&answer.headers),
@@ -190,10 +197,10 @@
             .ledger
             .borrow_mut()
             .record_answer(self.counter, Some(kept));
-        move_request::whole_answer(answer)
+        moved_request::whole_answer(answer)
     }
 
-    fn conclude_moved(self, answer: Answer) -> Answer {
+    fn conclude_peer_answer(self, answer: Answer) -> Answer {
         match (answer.code, &answer.body) {
             (Code::Answered, AnswerBody::Whole(body)) => {
                 let whole = WholeAnswer {
@@ -201,16 +208,16 @@
                     headers: answer.headers.clone(),
                     body: body.clone(),
                 };
-                self.finish(whole)
+                self.conclude_answered(whole)
             }
-            (code, _) => self.lose(code),
+            (code, _) => self.conclude_unknown(code),
         }
     }
 }
 
 impl Drop for LedgerEntry {
     fn drop(&mut self) {
-        if !self.concluded {
+        if !self.is_concluded {
             let mut ledger = self.target.ledger.borrow_mut();
             ledger.record_unknown_outcome(self.counter, Code::OutcomeUnknown);
         }
@@ -222,13 +229,14 @@
     value.to_str().ok().map(str::to_owned)
 }
 
+/// Returns the answer that the ledger kept of an earlier attempt.
 pub(crate) fn kept_answer(kept: KeptAnswer) -> Answer {
     let mut headers = http::HeaderMap::new();
     let content_type = kept.content_type.and_then(|value| value.parse().ok());
     if let Some(content_type) = content_type {
         headers.insert(http::header::CONTENT_TYPE, content_type);
     }
-    move_request::whole_answer(WholeAnswer {
+    moved_request::whole_answer(WholeAnswer {
         status: kept.status,
         headers,
         body: kept.body,
--- a/src/quic/backend.rs
+++ b/src/quic/backend.rs
@@ -1,4 +1,4 @@
-//! A request to the backend server, which speaks HTTP/1.1.
+//! Requests to the backend server over HTTP/1.1.
 
 use std::net::SocketAddr;
 
@@ -12,10 +12,11 @@
 use crate::process::http_client;
 use crate::quic::request_spec::{CODE_HEADER, REPEATABLE_HEADER, TICKET_HEADER, TIMEOUT_HEADER};
 
-/// The body of a request on its way to the backend server.
+/// The body of a request to the backend server.
 pub(crate) type RequestBody = UnsyncBoxBody<Bytes, Error>;
 
-/// Headers that concern one connection or our own contract and are not passed on.
+/// Headers that are not forwarded: those of a single connection, and those of the contract between
+/// callers and agents.
 const DROPPED_HEADERS: &[&str] = &[
     "connection",
     "keep-alive",
@@ -31,40 +32,40 @@
     TIMEOUT_HEADER,
 ];
 
-/// Why there is no answer.
+/// The reason why a backend server gave no answer.
 #[derive(Debug)]
 pub(crate) enum BackendFailure {
-    /// The request was never handed over.
-    NotHandedOver,
-    /// The connection was lost after the request was handed over.
+    /// The request was not sent.
+    NotSent,
+    /// The connection was lost after the request was sent.
     Lost,
 }
 
-/// Returns the headers that go on, in either direction.
+/// Returns the headers that are forwarded, in either direction.
 pub(crate) fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
-    let passes = |name: &HeaderName| !DROPPED_HEADERS.contains(&name.as_str());
-    let kept = headers.iter().filter(|(name, _)| passes(name));
+    let is_forwarded = |name: &HeaderName| !DROPPED_HEADERS.contains(&name.as_str());
+    let kept = headers.iter().filter(|(name, _)| is_forwarded(name));
     kept.map(|(name, value)| (name.clone(), value.clone()))
         .collect()
 }
 
-/// A request as the backend server is to see it.
+/// A request to send to the backend server.
 pub(crate) struct BackendRequest<'a> {
     pub(crate) method: &'a Method,
     pub(crate) path: &'a str,
     pub(crate) headers: &'a HeaderMap,
     pub(crate) body: RequestBody,
-    pub(crate) left_ms: Option<u64>,
+    pub(crate) remaining_ms: Option<u64>,
 }
 
-/// Hands a request to the backend server and returns the head of its answer.
+/// Sends a request to the backend server and returns the head of its answer.
 pub(crate) async fn send(
     address: SocketAddr,
     request: BackendRequest<'_>,
 ) -> Result<Response<Incoming>, BackendFailure> {
-    let request = build(address, request).ok_or(BackendFailure::NotHandedOver)?;
+    let request = build(address, request).ok_or(BackendFailure::NotSent)?;
     let connected = http_client::connect(address).await;
-    let mut sender = connected.map_err(|_| BackendFailure::NotHandedOver)?;
+    let mut sender = connected.map_err(|_| BackendFailure::NotSent)?;
     let response = sender.send_request(request).await;
     response.map_err(|_| BackendFailure::Lost)
 }
@@ -78,13 +79,13 @@
     let headers = built.headers_mut();
     *headers = forwarded_headers(request.headers);
     headers.insert(HOST, address.to_string().parse().ok()?);
-    if let Some(left_ms) = request.left_ms {
-        headers.insert(TIMEOUT_HEADER, left_ms.into());
+    if let Some(remaining_ms) = request.remaining_ms {
+        headers.insert(TIMEOUT_HEADER, remaining_ms.into());
     }
     Some(built)
 }
 
-/// Tells whether the backend server says that it shed the request unrun: 503 with Retry-After.
+/// Returns whether the backend server shed the request without running it: 503 with Retry-After.
 pub(crate) fn is_shed(response: &Response<Incoming>) -> bool {
     let unavailable = response.status() == StatusCode::SERVICE_UNAVAILABLE;
     unavailable && response.headers().contains_key(RETRY_AFTER)
--- a/src/quic/balancer.rs
+++ b/src/quic/balancer.rs
@@ -1,4 +1,5 @@
-//! The balancer: hands callers' datagrams to agents and their answers back; it holds no flow.
+//! The balancer, which forwards datagrams from callers to agents and back and keeps no state of
+//! flows.
 
 use std::cell::RefCell;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -22,20 +23,20 @@
 use crate::quic::envelope::{ENVELOPE_BYTES, Envelope, EnvelopeKey, EnvelopeKind};
 use crate::quic::steering;
 
-/// How long a balancer goes on forwarding after it has said that it leaves.
+/// The time for which a balancer keeps forwarding after it announced that it leaves.
 const LEAVING_GRACE: Duration = Duration::from_millis(300);
 
-/// The socket on which callers reach a service.
+/// The socket that receives the callers' datagrams of a service.
 struct ServicePort {
     service: ServiceId,
     address: SocketAddr,
     socket: Rc<UdpSocket>,
-    _receiver: JoinHandle<()>,
+    _receive_task: JoinHandle<()>,
 }
 
 struct Balancer {
     control: Rc<ControlPlane>,
-    key: EnvelopeKey,
+    envelope_key: EnvelopeKey,
     socket: UdpSocket,
     ports: RefCell<Vec<ServicePort>>,
     agents: RefCell<Vec<Ipv4Addr>>,
@@ -47,7 +48,7 @@
     let datagram_address =
         SocketAddr::from((control.settings.host, control.settings.datagram_port));
     let balancer = Rc::new(Balancer {
-        key: EnvelopeKey::new(&control.settings.cluster_key),
+        envelope_key: EnvelopeKey::new(&control.settings.cluster_key),
         socket: udp::bind(datagram_address)?,
         ports: RefCell::default(),
         agents: RefCell::default(),
@@ -56,16 +57,17 @@
     });
     balancer.sync_ports();
     balancer.clone().subscribe();
-    let receiver = balancer.clone();
-    let answers = compio::runtime::spawn(async move { receiver.hand_back_answers().await });
+    let forwarder = balancer.clone();
+    let answer_task =
+        compio::runtime::spawn(async move { forwarder.forward_outbound_packets().await });
     stop.await;
-    balancer.say_leaving().await;
+    balancer.announce_leaving().await;
     compio::time::sleep(LEAVING_GRACE).await;
-    drop(answers);
+    drop(answer_task);
     Ok(())
 }
 
-/// Returns what a balancer answers on control links.
+/// Returns the handlers of a balancer for calls on control links.
 pub(crate) fn hooks(control: &Rc<ControlPlane>) -> node_server::NodeHooks {
     let control = control.clone();
     node_server::hooks_without_flows(move || state(&control))
@@ -112,9 +114,10 @@
         self.control.metrics.services_open.set(ports.len() as i64);
     }
 
-    /// Returns each service with the address to bind, one service an address.
+    /// Returns the services with the addresses to bind, at most one service per address.
     ///
-    /// Where two tables claim one address, the lower service id keeps it, on every balancer alike.
+    /// If two tables claim the same address, the service with the lower ID gets it, so that all
+    /// balancers agree.
     fn wanted_ports(&self) -> Vec<(ServiceId, SocketAddr)> {
         let store = self.control.store.borrow();
         let mut wanted: Vec<(ServiceId, SocketAddr)> = Vec::new();
@@ -138,20 +141,22 @@
     fn open_port(self: &Rc<Self>, service: ServiceId, address: SocketAddr) -> Result<ServicePort> {
         let socket = Rc::new(udp::bind(address)?);
         let balancer = self.clone();
-        let receiving = socket.clone();
-        let receiver = compio::runtime::spawn(async move {
-            balancer.hand_over_packets(service, &receiving).await;
+        let receive_socket = socket.clone();
+        let receive_task = compio::runtime::spawn(async move {
+            balancer
+                .forward_inbound_packets(service, &receive_socket)
+                .await;
         });
         log::info!("event=port_open service={service} address={address}");
         Ok(ServicePort {
             service,
             address,
             socket,
-            _receiver: receiver,
+            _receive_task: receive_task,
         })
     }
 
-    async fn hand_over_packets(&self, service: ServiceId, socket: &UdpSocket) {
+    async fn forward_inbound_packets(&self, service: ServiceId, socket: &UdpSocket) {
         let mut buffer = Vec::with_capacity(BUFFER_BYTES);
         loop {
             buffer.clear();
@@ -160,11 +165,11 @@
             let Ok((bytes, caller)) = result else {
                 continue;
             };
-            buffer = self.hand_over(service, caller, bytes, buffer).await;
+            buffer = self.forward_inbound(service, caller, bytes, buffer).await;
         }
     }
 
-    async fn hand_over(
+    async fn forward_inbound(
         &self,
         service: ServiceId,
         caller: SocketAddr,
@@ -183,7 +188,7 @@
                 return buffer;
             }
         };
-        self.key.append(
+        self.envelope_key.append(
             &mut buffer,
             &self.envelope(EnvelopeKind::Inbound, service, caller),
         );
@@ -200,7 +205,7 @@
         }
         self.control.metrics.openers.inc();
         suspicion.record_sent(route.host, now_ms);
-        // The opener that makes its owner suspected goes to the runner-up already.
+        // If this opener made its owner suspected, it already goes to the runner-up.
         steering::steer(&store, &suspicion, service, packet, now_ms).map(|route| route.host)
     }
 
@@ -223,7 +228,7 @@
         buffer
     }
 
-    async fn hand_back_answers(&self) {
+    async fn forward_outbound_packets(&self) {
         let mut buffer = Vec::with_capacity(BUFFER_BYTES);
         loop {
             buffer.clear();
@@ -232,13 +237,13 @@
             let Ok((_, agent)) = result else {
                 continue;
             };
-            buffer = self.hand_back(agent, buffer).await;
+            buffer = self.forward_outbound(agent, buffer).await;
         }
     }
 
-    async fn hand_back(&self, agent: SocketAddr, mut buffer: Vec<u8>) -> Vec<u8> {
+    async fn forward_outbound(&self, agent: SocketAddr, mut buffer: Vec<u8>) -> Vec<u8> {
         self.control.metrics.packets_in.inc();
-        let envelope = match self.key.open(&buffer) {
+        let envelope = match self.envelope_key.open(&buffer) {
             Ok((envelope, _)) if envelope.kind == EnvelopeKind::Outbound => envelope,
             _ => {
                 self.control
@@ -249,9 +254,9 @@
             }
         };
         if let SocketAddr::V4(agent) = agent {
-            self.note_agent(*agent.ip(), envelope.revision);
+            self.record_agent(*agent.ip(), envelope.revision);
         }
-        let Some(socket) = self.socket_of(envelope.service) else {
+        let Some(socket) = self.service_socket(envelope.service) else {
             self.control
                 .metrics
                 .packets_dropped
@@ -266,7 +271,7 @@
         buffer
     }
 
-    fn note_agent(&self, host: Ipv4Addr, revision: Revision) {
+    fn record_agent(&self, host: Ipv4Addr, revision: Revision) {
         self.control.suspicion.borrow_mut().record_answer(host);
         self.revision_puller.observe(host, revision);
         let mut agents = self.agents.borrow_mut();
@@ -275,20 +280,21 @@
         }
     }
 
-    fn socket_of(&self, service: ServiceId) -> Option<Rc<UdpSocket>> {
+    fn service_socket(&self, service: ServiceId) -> Option<Rc<UdpSocket>> {
         let ports = self.ports.borrow();
         let index = ports.binary_search_by_key(&service, |port| port.service);
         index.ok().map(|index| ports[index].socket.clone())
     }
 
-    /// Tells every agent that answered through this balancer to choose another one.
-    async fn say_leaving(&self) {
+    /// Announces to every agent that answered through this balancer that it must choose another
+    /// one.
+    async fn announce_leaving(&self) {
         let agents = self.agents.borrow().clone();
         let unspecified = SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0));
         let envelope = self.envelope(EnvelopeKind::Leaving, ServiceId(0), unspecified);
         for host in agents {
             let mut buffer = Vec::with_capacity(ENVELOPE_BYTES);
-            self.key.append(&mut buffer, &envelope);
+            self.envelope_key.append(&mut buffer, &envelope);
             self.send(buffer, host).await;
         }
     }
--- a/src/quic/caller_body.rs
+++ b/src/quic/caller_body.rs
@@ -1,5 +1,5 @@
-//! The body of a caller's request: small ones whole, so that they can run elsewhere; large ones as
-//! a stream.
+//! The body of a caller's request. A small body is read whole, so that the request can run at a
+//! peer or be retried; a large one is streamed.
 
 use bytes::{Buf, Bytes, BytesMut};
 use compio::quic::h3::BidiStream;
@@ -14,87 +14,88 @@
 use crate::links::peer_request::MAX_MOVED_BODY_BYTES;
 use crate::quic::backend::RequestBody;
 
-/// How many pieces of a streamed body may wait for the backend server.
-const PIECES_AHEAD: usize = 4;
+/// The number of chunks of a streamed body that are buffered for the backend server.
+const MAX_BUFFERED_CHUNKS: usize = 4;
 
-/// The half of a request stream on which the caller's body comes.
+/// The receiving half of a request stream.
 pub(crate) type BodyStream = RequestStream<
     <BidiStream<Bytes> as compio::quic::h3::quic::BidiStream<Bytes>>::RecvStream,
     Bytes,
 >;
 
-/// A body of which the start has been read.
+/// A body that is read whole, or whose first [`MAX_MOVED_BODY_BYTES`] are read and the rest is
+/// streamed.
 pub(crate) struct CallerBody {
-    start: Bytes,
-    rest: Option<BodyStream>,
+    prefix: Bytes,
+    remainder: Option<BodyStream>,
 }
 
 impl CallerBody {
-    /// Reads the body to its end, or as far as it could still run elsewhere.
+    /// Reads the body to its end, or until it is too large for a peer.
     pub(crate) async fn read(mut stream: BodyStream) -> Result<Self> {
-        let mut start = BytesMut::new();
-        while start.len() <= MAX_MOVED_BODY_BYTES {
-            match next_piece(&mut stream).await? {
-                Some(piece) => start.extend_from_slice(&piece),
+        let mut prefix = BytesMut::new();
+        while prefix.len() <= MAX_MOVED_BODY_BYTES {
+            match next_chunk(&mut stream).await? {
+                Some(chunk) => prefix.extend_from_slice(&chunk),
                 None => {
                     return Ok(Self {
-                        start: start.freeze(),
-                        rest: None,
+                        prefix: prefix.freeze(),
+                        remainder: None,
                     });
                 }
             }
         }
         Ok(Self {
-            start: start.freeze(),
-            rest: Some(stream),
+            prefix: prefix.freeze(),
+            remainder: Some(stream),
         })
     }
 
-    /// Returns the body if it is known whole, so that it can be sent more than once.
+    /// Returns the body if it was read whole, so that it can be sent more than once.
     pub(crate) fn whole(&self) -> Option<&Bytes> {
-        self.rest.is_none().then_some(&self.start)
+        self.remainder.is_none().then_some(&self.prefix)
     }
 
-    /// Returns the body for the backend server.
+    /// Converts the body for the request to the backend server.
     pub(crate) fn into_request_body(self) -> RequestBody {
-        match self.rest {
-            None => whole_body(self.start),
-            Some(stream) => streamed_body(self.start, stream),
+        match self.remainder {
+            None => whole_body(self.prefix),
+            Some(stream) => streamed_body(self.prefix, stream),
         }
     }
 }
 
-/// Makes a body of bytes that are at hand.
+/// Creates a request body from bytes.
 pub(crate) fn whole_body(bytes: Bytes) -> RequestBody {
     Full::new(bytes)
         .map_err(|never| match never {})
         .boxed_unsync()
 }
 
-async fn next_piece(stream: &mut BodyStream) -> Result<Option<Bytes>> {
-    let piece = stream.recv_data().await;
-    let piece = piece.map_err(|error| Error::new(Code::Io, error.to_string()))?;
-    Ok(piece.map(|mut piece| piece.copy_to_bytes(piece.remaining())))
+async fn next_chunk(stream: &mut BodyStream) -> Result<Option<Bytes>> {
+    let chunk = stream.recv_data().await;
+    let chunk = chunk.map_err(|error| Error::new(Code::Io, error.to_string()))?;
+    Ok(chunk.map(|mut chunk| chunk.copy_to_bytes(chunk.remaining())))
 }
 
-fn streamed_body(start: Bytes, mut stream: BodyStream) -> RequestBody {
-    let (mut sender, receiver) = mpsc::channel::<Result<Bytes>>(PIECES_AHEAD);
+fn streamed_body(prefix: Bytes, mut stream: BodyStream) -> RequestBody {
+    let (mut sender, receiver) = mpsc::channel::<Result<Bytes>>(MAX_BUFFERED_CHUNKS);
     compio::runtime::spawn(async move {
-        if sender.send(Ok(start)).await.is_err() {
+        if sender.send(Ok(prefix)).await.is_err() {
             return;
         }
         loop {
-            let piece = next_piece(&mut stream).await.transpose();
-            let Some(piece) = piece else {
+            let chunk = next_chunk(&mut stream).await.transpose();
+            let Some(chunk) = chunk else {
                 return;
             };
-            let failed = piece.is_err();
-            if sender.send(piece).await.is_err() || failed {
+            let has_failed = chunk.is_err();
+            if sender.send(chunk).await.is_err() || has_failed {
                 return;
             }
         }
     })
     .detach();
-    let frames = receiver.map(|piece| piece.map(Frame::data));
+    let frames = receiver.map(|chunk| chunk.map(Frame::data));
     BodyExt::boxed_unsync(StreamBody::new(frames))
 }
--- a/src/quic/drain_signal.rs
+++ b/src/quic/drain_signal.rs
@@ -1,4 +1,4 @@
-//! Tells the tasks of a target's flows that the target leaves.
+//! The signal that starts the drain of a target's flows.
 
 use std::cell::RefCell;
 
@@ -6,10 +6,11 @@
 use futures_util::FutureExt;
 use futures_util::future::Shared;
 
-/// Completes when the drain starts.
+/// A future that completes when the drain starts.
 pub(crate) type DrainStarted = Shared<oneshot::Receiver<()>>;
 
-/// A signal that is given once; flows that open after [`DrainSignal::rearm`] wait for the next.
+/// A signal that completes once for all flows that wait for it. Flows that open after
+/// [`DrainSignal::reset`] wait for the next drain.
 pub(crate) struct DrainSignal {
     current: RefCell<(Option<oneshot::Sender<()>>, DrainStarted)>,
 }
@@ -27,11 +28,11 @@
     }
 
     pub(crate) fn start(&self) {
-        // Dropping the sender completes the receivers too, and can be done twice.
+        // Dropping the sender also completes the receivers, and has no effect when repeated.
         self.current.borrow_mut().0 = None;
     }
 
-    pub(crate) fn rearm(&self) {
+    pub(crate) fn reset(&self) {
         *self.current.borrow_mut() = channel();
     }
 
--- a/src/quic/envelope.rs
+++ b/src/quic/envelope.rs
@@ -1,8 +1,8 @@
-//! The trailer that balancers and agents add to a datagram which they hand to each other.
+//! The envelope: a trailer that balancers and agents append to the datagrams they send each other.
 //!
-//! It follows the datagram instead of preceding it, so that a balancer forwards a packet from the
-//! buffer into which it was received. The tag covers the trailer and the first bytes of the
-//! packet; the rest is protected by QUIC itself. See docs/DESIGN.md, "Envelope".
+//! It follows the packet instead of preceding it, so that a balancer can forward a packet from the
+//! buffer into which it was received. The tag authenticates the trailer and the first bytes of the
+//! packet; QUIC itself protects the rest. See docs/DESIGN.md, "Envelope".
 
 use std::hash::Hasher;
 use std::net::{IpAddr, Ipv4Addr, Ipv6Addr, SocketAddr};
@@ -18,14 +18,14 @@
 
 /// The length of the trailer, in bytes.
 pub const ENVELOPE_BYTES: usize = 46;
-// What does not fit the buffer of a receiver would be cut off.
+// A longer trailer would be truncated by the receiver's buffer.
 const _: () = assert!(ENVELOPE_BYTES <= MAX_TRAILER_BYTES);
 
 const VERSION: u8 = 1;
 const TAG_BYTES: usize = 8;
-const COVERED_PACKET_BYTES: usize = 64;
+const AUTHENTICATED_PACKET_BYTES: usize = 64;
 
-/// Which way an envelope goes.
+/// The direction and purpose of an envelope.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
 pub enum EnvelopeKind {
@@ -33,26 +33,26 @@
     Inbound = 1,
     /// From an agent to a caller.
     Outbound = 2,
-    /// An opener that its owner has handed to another agent, which may only take or return it.
+    /// An opener that its owner has deflected to another agent, which may only accept or return it.
     Deflected = 3,
-    /// The sending balancer stops soon: no more answers through it.
+    /// The sending balancer stops soon, so that no more answers may be sent through it.
     Leaving = 4,
-    /// A deflected opener that goes back to its owner.
+    /// A deflected opener that is returned to its owner.
     Returned = 5,
 }
 
-/// What travels with a datagram between a balancer and an agent.
+/// The fields that are sent with a datagram between a balancer and an agent, or between agents.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Envelope {
-    /// Which way it goes.
+    /// The direction and purpose.
     pub kind: EnvelopeKind,
     /// The service that the caller addressed.
     pub service: ServiceId,
-    /// The caller's address as the balancer saw it.
+    /// The caller's address as seen by the balancer.
     pub caller: SocketAddr,
-    /// The balancer's host, to which answers go.
+    /// The balancer's host, to which answers are sent.
     pub balancer: Ipv4Addr,
-    /// The highest revision that the sender holds.
+    /// The highest configuration revision of the sender.
     pub revision: Revision,
 }
 
@@ -76,7 +76,7 @@
         let mut hasher = SipHasher24::new_with_key(&self.0);
         hasher.write(fields);
         hasher.write(&(packet.len() as u32).to_le_bytes());
-        hasher.write(&packet[..packet.len().min(COVERED_PACKET_BYTES)]);
+        hasher.write(&packet[..packet.len().min(AUTHENTICATED_PACKET_BYTES)]);
         hasher.finish().to_le_bytes()
     }
 
@@ -103,11 +103,13 @@
     ///
     /// # Errors
     ///
-    /// Returns code 4003 for anything that no holder of the key has made.
+    /// Returns code 4003 for a datagram without a trailer of this key, or with an unknown version
+    /// or kind.
     pub fn open<'a>(&self, datagram: &'a [u8]) -> Result<(Envelope, &'a [u8])> {
         let forged = |what| Error::new(Code::EnvelopeForged, what);
         let packet_bytes = datagram.len().checked_sub(ENVELOPE_BYTES);
-        let packet_bytes = packet_bytes.ok_or_else(|| forged("too short"))?;
+        let packet_bytes =
+            packet_bytes.ok_or_else(|| forged("datagram shorter than the trailer"))?;
         let (packet, trailer) = datagram.split_at(packet_bytes);
         let (fields, tag) = trailer.split_at(ENVELOPE_BYTES - TAG_BYTES);
         if self.tag(packet, fields) != tag {
--- a/src/quic/flow.rs
+++ b/src/quic/flow.rs
@@ -1,4 +1,5 @@
-//! Flows of one target: accepted, served as HTTP/3, told to move when the target leaves.
+//! Accepts the flows of a target, serves their requests over HTTP/3, and sends GOAWAY when the
+//! target drains.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,20 +19,20 @@
 use crate::quic::request;
 use crate::quic::target::Target;
 
-/// How long a flow without requests stays after it was told to move, so that a request which
-/// crosses the message on the way is still answered.
+/// The time for which a flow without requests stays open after a GOAWAY, so that a request which
+/// the caller sent before it received the GOAWAY is still answered.
 const GOAWAY_LINGER: Duration = Duration::from_secs(1);
 
 type QuicConnection = compio::quic::Connection;
 type FlowConnection = Connection<QuicConnection, Bytes>;
 
-/// Counts a flow for as long as it is open.
-struct OpenFlow {
+/// Counts a flow as open until it is dropped.
+struct OpenFlowGuard {
     agent: Rc<Agent>,
     target: Rc<Target>,
 }
 
-impl OpenFlow {
+impl OpenFlowGuard {
     fn new(agent: &Rc<Agent>, target: &Rc<Target>) -> Self {
         target.admission.borrow_mut().flow_opened();
         agent.control.metrics.flows_open.inc();
@@ -43,7 +44,7 @@
     }
 }
 
-impl Drop for OpenFlow {
+impl Drop for OpenFlowGuard {
     fn drop(&mut self) {
         self.target.admission.borrow_mut().flow_closed();
         self.agent.control.metrics.flows_open.dec();
@@ -53,21 +54,22 @@
 /// Accepts the flows of a target forever.
 pub(crate) async fn accept_flows(agent: Rc<Agent>, target: Rc<Target>) {
     while let Some(incoming) = target.endpoint.wait_incoming().await {
-        if let Some(code) = refusal(&agent, &target, &incoming) {
+        if let Some(code) = refusal_code(&agent, &target, &incoming) {
             agent.control.metrics.flows_refused.inc(code);
             incoming.refuse();
             continue;
         }
-        let open = OpenFlow::new(&agent, &target);
+        let open_flow = OpenFlowGuard::new(&agent, &target);
         let Ok(connecting) = incoming.accept() else {
             continue;
         };
-        compio::runtime::spawn(serve_flow(open, connecting)).detach();
+        compio::runtime::spawn(serve_flow(open_flow, connecting)).detach();
     }
 }
 
-/// Checks the decision about the opener and, since others were accepted since, the hard limit.
-fn refusal(agent: &Agent, target: &Target, incoming: &Incoming) -> Option<Code> {
+/// Returns the code with which a flow is refused, if any: by the decision on its opener, or by the
+/// hard limit, since other flows may have been accepted since that decision.
+fn refusal_code(agent: &Agent, target: &Target, incoming: &Incoming) -> Option<Code> {
     let admission = target.admission.borrow();
     let opener_hash = hash::bytes_hash(&incoming.orig_dst_cid());
     let now_ms = agent.control.now_ms();
@@ -83,8 +85,8 @@
     }
 }
 
-async fn serve_flow(open: OpenFlow, connecting: Connecting) {
-    let drain = open.target.drain.started();
+async fn serve_flow(open_flow: OpenFlowGuard, connecting: Connecting) {
+    let drain = open_flow.target.drain_signal.started();
     let Ok(connection) = connecting.await else {
         return;
     };
@@ -92,44 +94,46 @@
     let Ok(mut flow) = built else {
         return;
     };
-    serve_requests(&open, &mut flow, drain).await;
+    serve_requests(&open_flow, &mut flow, drain).await;
 }
 
-/// Serves requests until the caller closes, or until the last one has ended after a drain began.
+/// Serves requests until the caller closes the flow, or until the last one has ended during a
+/// drain.
 ///
 /// The tasks of repeatable requests end with the flow, which cancels them at the backend server.
-async fn serve_requests(open: &OpenFlow, flow: &mut FlowConnection, drain: DrainStarted) {
+async fn serve_requests(open_flow: &OpenFlowGuard, flow: &mut FlowConnection, drain: DrainStarted) {
     let mut running = FuturesUnordered::new();
     let mut drain = drain.fuse();
-    let mut draining = false;
-    let mut lingered = false;
+    let mut is_draining = false;
+    let mut has_lingered = false;
     loop {
-        if draining && lingered && running.is_empty() {
+        if is_draining && has_lingered && running.is_empty() {
             return;
         }
-        let linger = linger(draining && running.is_empty()).fuse();
+        let linger = linger(is_draining && running.is_empty()).fuse();
         futures_util::pin_mut!(linger);
         select! {
             accepted = flow.accept().fuse() => match accepted {
-                Ok(Some(resolver)) => running.push(start_request(open, resolver)),
+                Ok(Some(resolver)) => running.push(start_request(open_flow, resolver)),
                 Ok(None) => break,
                 Err(_) => return,
             },
             _ = drain => {
-                draining = true;
+                is_draining = true;
                 if flow.shutdown(0).await.is_err() {
                     return;
                 }
             }
-            _ = running.select_next_some() => lingered = false,
-            () = linger => lingered = true,
+            _ = running.select_next_some() => has_lingered = false,
+            () = linger => has_lingered = true,
         }
     }
     while running.next().await.is_some() {}
 }
 
-async fn linger(idle: bool) {
-    if idle {
+/// Waits for [`GOAWAY_LINGER`], or forever unless the flow is idle.
+async fn linger(is_idle: bool) {
+    if is_idle {
         compio::time::sleep(GOAWAY_LINGER).await;
     } else {
         std::future::pending::<()>().await;
@@ -137,11 +141,11 @@
 }
 
 fn start_request(
-    open: &OpenFlow,
+    open_flow: &OpenFlowGuard,
     resolver: RequestResolver<QuicConnection, Bytes>,
 ) -> JoinHandle<()> {
-    let agent = open.agent.clone();
-    let target = open.target.clone();
+    let agent = open_flow.agent.clone();
+    let target = open_flow.target.clone();
     compio::runtime::spawn(async move {
         if let Ok((head, stream)) = resolver.resolve_request().await {
             request::serve(&agent, &target, head, stream).await;
--- a/src/quic/flow_socket.rs
+++ b/src/quic/flow_socket.rs
@@ -1,7 +1,7 @@
-//! The local socket that stands for one caller at a target's QUIC endpoint.
+//! The local socket that represents one caller at a target's QUIC endpoint.
 //!
-//! The endpoint sees each flow under an address of its own, so that it can tell flows apart and
-//! validate a path that changes; see docs/DESIGN.md, "Agent".
+//! Each caller has a separate local address, by which the endpoint distinguishes flows and
+//! validates a changed path; see docs/DESIGN.md, "Agent".
 
 use std::cell::Cell;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -16,24 +16,24 @@
 use crate::error::Result;
 use crate::quic::envelope::{Envelope, EnvelopeKind};
 
-/// How long a flow may be silent before its socket is closed: longer than QUIC's idle timeout, in
-/// milliseconds.
+/// The idle time after which a flow socket is closed, in milliseconds. It is longer than QUIC's
+/// idle timeout.
 pub(crate) const FLOW_IDLE_MS: u64 = 60_000;
 
-/// What tells flow sockets apart.
+/// The caller's address and the service, which identify a flow socket.
 pub(crate) type FlowKey = (SocketAddr, ServiceId);
 
-/// One caller's socket.
+/// The socket of one caller.
 pub(crate) struct FlowSocket {
     pub(crate) key: FlowKey,
     pub(crate) socket: Rc<UdpSocket>,
     pub(crate) last_balancer: Cell<Ipv4Addr>,
-    pub(crate) last_ms: Cell<u64>,
-    receiver: Cell<Option<JoinHandle<()>>>,
+    pub(crate) last_packet_ms: Cell<u64>,
+    answer_task: Cell<Option<JoinHandle<()>>>,
 }
 
 impl FlowSocket {
-    /// Opens a socket towards `endpoint`.
+    /// Opens a socket that is connected to `endpoint`.
     pub(crate) async fn open(
         key: FlowKey,
         endpoint: SocketAddr,
@@ -45,26 +45,27 @@
             key,
             socket: Rc::new(socket),
             last_balancer: Cell::new(balancer),
-            last_ms: Cell::new(0),
-            receiver: Cell::new(None),
+            last_packet_ms: Cell::new(0),
+            answer_task: Cell::new(None),
         }))
     }
 
-    /// Keeps the task that reads the endpoint's answers; it ends with this socket.
-    pub(crate) fn set_receiver(&self, receiver: JoinHandle<()>) {
-        self.receiver.set(Some(receiver));
+    /// Stores the task that reads the endpoint's answers, which is cancelled when this socket is
+    /// dropped.
+    pub(crate) fn set_answer_task(&self, answer_task: JoinHandle<()>) {
+        self.answer_task.set(Some(answer_task));
     }
 
-    /// Notes through which balancer the caller was heard.
-    pub(crate) fn heard(&self, balancer: Ipv4Addr, now_ms: u64) {
+    /// Records the time of a packet and the balancer that forwarded it.
+    pub(crate) fn record_packet(&self, balancer: Ipv4Addr, now_ms: u64) {
         self.last_balancer.set(balancer);
-        self.last_ms.set(now_ms);
+        self.last_packet_ms.set(now_ms);
     }
 
-    /// Hands a packet of the caller to the endpoint.
+    /// Sends a packet of the caller to the endpoint.
     pub(crate) async fn deliver(&self, packet: Vec<u8>) {
         let BufResult(result, _) = self.socket.send(packet).await;
-        // A full socket drops the packet, as the network might; QUIC sends it again.
+        // A packet that a full socket drops is retransmitted by QUIC.
         let _ = result;
     }
 
--- a/src/quic/load_exchange.rs
+++ b/src/quic/load_exchange.rs
@@ -1,4 +1,4 @@
-//! The controller that keeps the agents of a service informed of each other's load.
+//! The periodic exchange of load reports between the agents of a service.
 
 use std::net::Ipv4Addr;
 use std::rc::Rc;
@@ -10,19 +10,19 @@
 use crate::quic::agent::Agent;
 use crate::quic::target::Target;
 
-/// How often an agent exchanges load with one random peer of one target, in milliseconds.
+/// The interval between exchanges of load with one random peer of one target, in milliseconds.
 ///
-/// The targets take turns, so that an agent's control traffic does not grow with their number;
-/// admission damps its corrections by the age of what it knows. See docs/CAPACITY.md.
-pub(crate) const PERIOD_MS: u64 = 1_000;
+/// The targets are served in turn, so that an agent's control traffic does not grow with their
+/// number. Admission damps its corrections by the age of the reports. See docs/CAPACITY.md.
+pub(crate) const EXCHANGE_PERIOD_MS: u64 = 1_000;
 
-/// Starts the exchange of the target whose turn it is.
+/// Starts an exchange for the next target in turn.
 pub(crate) fn start_next(agent: &Rc<Agent>) {
     let target = {
         let targets = agent.targets.borrow();
-        let turn = agent.exchange_turn.get();
-        agent.exchange_turn.set(turn.wrapping_add(1));
-        targets.get(turn % targets.len().max(1)).cloned()
+        let index = agent.next_exchange_index.get();
+        agent.next_exchange_index.set(index.wrapping_add(1));
+        targets.get(index % targets.len().max(1)).cloned()
     };
     if let Some(target) = target {
         let agent = agent.clone();
@@ -30,10 +30,11 @@
     }
 }
 
-/// Exchanges load with every peer of a target, once: a fresh one does not decide blindly for its first
-/// seconds, and a leaving one is not sent openers by peers that have not heard of it.
-pub(crate) fn introduce(agent: &Rc<Agent>, target: &Rc<Target>) {
-    for peer in peers(agent, target) {
+/// Exchanges load once with every peer of a target, so that a new target does not decide without
+/// reports for its first seconds, and peers do not deflect openers to a target that they do not know
+/// to be draining.
+pub(crate) fn exchange_with_all_peers(agent: &Rc<Agent>, target: &Rc<Target>) {
+    for peer in unsuspected_peers(agent, target) {
         let agent = agent.clone();
         let target = target.clone();
         compio::runtime::spawn(async move { exchange(&agent, &target, peer).await }).detach();
@@ -41,20 +42,23 @@
 }
 
 async fn exchange_with_random(agent: &Agent, target: &Target) {
-    if let Some(peer) = peers(agent, target).into_iter().choose(&mut rand::rng()) {
+    if let Some(peer) = unsuspected_peers(agent, target)
+        .into_iter()
+        .choose(&mut rand::rng())
+    {
         exchange(agent, target, peer).await;
     }
 }
 
 async fn exchange(agent: &Agent, target: &Target, peer: Ipv4Addr) {
-    let ours = reports(agent, target);
-    let theirs = agent
+    let own_reports = collect_reports(agent, target);
+    let peer_reports = agent
         .control
         .peers
-        .exchange_load(peer, target.service, &ours)
+        .exchange_load(peer, target.service, &own_reports)
         .await;
-    match theirs {
-        Ok(theirs) => merge(agent, target, &theirs),
+    match peer_reports {
+        Ok(peer_reports) => merge(agent, target, &peer_reports),
         Err(_) => {
             let now_ms = agent.control.now_ms();
             agent.control.suspicion.borrow_mut().suspect(peer, now_ms);
@@ -63,8 +67,8 @@
     }
 }
 
-/// Returns the hosts of a target's peers that are not suspected.
-fn peers(agent: &Agent, target: &Target) -> Vec<Ipv4Addr> {
+/// Returns the hosts of a target's peers, without those that are suspected.
+fn unsuspected_peers(agent: &Agent, target: &Target) -> Vec<Ipv4Addr> {
     let now_ms = agent.control.now_ms();
     let suspicion = agent.control.suspicion.borrow();
     let store = agent.control.store.borrow();
@@ -77,12 +81,12 @@
         .collect()
 }
 
-fn reports(agent: &Agent, target: &Target) -> Vec<LoadReport> {
+fn collect_reports(agent: &Agent, target: &Target) -> Vec<LoadReport> {
     let mut reports = target
         .peer_loads
         .borrow()
         .fresh_reports(agent.control.now_ms());
-    reports.push(target.report());
+    reports.push(target.next_report());
     reports
 }
 
@@ -100,12 +104,16 @@
     }
 }
 
-/// Answers a peer's exchange: takes its reports and returns ours.
-pub(crate) fn answer(agent: &Agent, service: ServiceId, theirs: &[LoadReport]) -> Vec<LoadReport> {
+/// Answers an exchange: merges the peer's reports and returns those of this agent.
+pub(crate) fn answer(
+    agent: &Agent,
+    service: ServiceId,
+    peer_reports: &[LoadReport],
+) -> Vec<LoadReport> {
     let Some(target) = agent.target(service) else {
         return Vec::new();
     };
-    let ours = reports(agent, &target);
-    merge(agent, &target, theirs);
-    ours
+    let own_reports = collect_reports(agent, &target);
+    merge(agent, &target, peer_reports);
+    own_reports
 }
--- a/src/quic/local_run.rs
+++ b/src/quic/local_request.rs
@@ -1,4 +1,4 @@
-//! Runs a request at this host's backend server and reads the whole answer.
+//! Runs requests at this host's backend server.
 
 use std::rc::Rc;
 
@@ -14,10 +14,10 @@
 use crate::quic::backend::{self, BackendFailure, BackendRequest, RequestBody};
 use crate::quic::target::Target;
 
-/// The largest answer that is read whole, in bytes.
+/// The size of the largest answer that is read whole, in bytes.
 pub(crate) const MAX_WHOLE_ANSWER_BYTES: usize = 8 << 20;
 
-/// A request that has a slot.
+/// A request to run at this host's backend server once it holds a slot.
 pub(crate) struct LocalRequest {
     pub(crate) target: Rc<Target>,
     pub(crate) method: Method,
@@ -35,84 +35,85 @@
     pub(crate) body: Bytes,
 }
 
-/// What became of the request.
+/// The outcome of a request.
 #[derive(Debug)]
-pub(crate) enum Outcome {
-    /// The backend server never saw it, or said that it shed it.
+pub(crate) enum RunOutcome {
+    /// The request was not sent to the backend server, or the server shed it.
     NotRun(Refusal),
-    /// It was handed over, and nobody knows what became of it.
+    /// The request was sent, but no complete answer was received.
     Unknown(Code),
-    /// It ran.
+    /// The request ran and was answered.
     Answered(WholeAnswer),
 }
 
-/// Runs the request; the deadline is checked right before it is handed over.
-pub(crate) async fn run(request: LocalRequest, mut slot: SlotGuard, clock: Clock) -> Outcome {
+/// Runs the request and reads its whole answer. The deadline is checked right before the request is
+/// sent.
+pub(crate) async fn run(request: LocalRequest, mut slot: SlotGuard, clock: Clock) -> RunOutcome {
     let target = request.target.clone();
-    match hand_over(request, &mut slot, clock).await {
+    match send_to_backend(request, &mut slot, clock).await {
         Err(outcome) => outcome,
         Ok(response) => read_answer(&target, response).await,
     }
 }
 
-/// Hands the request over and returns the head of the answer.
-pub(crate) async fn hand_over(
+/// Sends the request to the backend server and returns the head of the answer.
+pub(crate) async fn send_to_backend(
     request: LocalRequest,
     slot: &mut SlotGuard,
     clock: Clock,
-) -> Result<Response<Incoming>, Outcome> {
+) -> Result<Response<Incoming>, RunOutcome> {
     let target = &request.target;
-    let left_ms = request.deadline_ms.saturating_sub(clock.now_ms());
-    if left_ms == 0 {
+    let remaining_ms = request.deadline_ms.saturating_sub(clock.now_ms());
+    if remaining_ms == 0 {
         return Err(not_run(target, Code::Deadline));
     }
     slot.set_running();
-    let sent = backend::send(
+    let response = backend::send(
         target.backend.get(),
         BackendRequest {
             method: &request.method,
             path: &request.path,
             headers: &request.headers,
             body: request.body,
-            left_ms: Some(left_ms),
+            remaining_ms: Some(remaining_ms),
         },
     );
-    match sent.await {
+    match response.await {
         Ok(response) if backend::is_shed(&response) => Err(not_run(target, Code::BackendShed)),
         Ok(response) => {
             let succeeded = !response.status().is_server_error();
             target.health.borrow_mut().record_outcome(succeeded);
             Ok(response)
         }
-        Err(BackendFailure::NotHandedOver) => {
+        Err(BackendFailure::NotSent) => {
             target.health.borrow_mut().record_outcome(false);
             Err(not_run(target, Code::BackendUnreachable))
         }
         Err(BackendFailure::Lost) => {
             target.health.borrow_mut().record_outcome(false);
-            Err(Outcome::Unknown(Code::OutcomeUnknown))
+            Err(RunOutcome::Unknown(Code::OutcomeUnknown))
         }
     }
 }
 
-fn not_run(target: &Target, code: Code) -> Outcome {
-    Outcome::NotRun(Refusal {
+fn not_run(target: &Target, code: Code) -> RunOutcome {
+    RunOutcome::NotRun(Refusal {
         code,
         retry_after_ms: target.slots.retry_after_ms(),
     })
 }
 
-async fn read_answer(target: &Target, response: Response<Incoming>) -> Outcome {
+async fn read_answer(target: &Target, response: Response<Incoming>) -> RunOutcome {
     let (parts, body) = response.into_parts();
     match Limited::new(body, MAX_WHOLE_ANSWER_BYTES).collect().await {
-        Ok(body) => Outcome::Answered(WholeAnswer {
+        Ok(body) => RunOutcome::Answered(WholeAnswer {
             status: parts.status.as_u16(),
             headers: backend::forwarded_headers(&parts.headers),
             body: body.to_bytes(),
         }),
         Err(_) => {
             target.health.borrow_mut().record_outcome(false);
-            Outcome::Unknown(Code::OutcomeUnknown)
+            RunOutcome::Unknown(Code::OutcomeUnknown)
         }
     }
 }
--- a/src/quic/move_request.rs
+++ b/src/quic/moved_request.rs
@@ -1,4 +1,5 @@
-//! Runs a request at a peer of the service: offer, accept, run, each a fact of its own.
+//! Runs a request at a peer of the service: the request is offered, and once a peer has accepted
+//! the offer, it is sent there with the ticket of the offer.
 
 use std::net::Ipv4Addr;
 
@@ -11,52 +12,56 @@
 use crate::links::peer_request::{MAX_MOVED_BODY_BYTES, PeerAnswer, PeerRequest};
 use crate::quic::answer::{Answer, AnswerBody};
 use crate::quic::backend;
-use crate::quic::local_run::WholeAnswer;
+use crate::quic::local_request::WholeAnswer;
 use crate::quic::request_context::RequestContext;
 
-/// To how many peers a request is offered.
+/// The number of peers to which a request is offered at most.
 const MAX_OFFERS: usize = 2;
-/// How busy a peer counts of which nothing is known: it is asked after all that are known.
-const UNHEARD_BUSY: f64 = 1.0;
+/// The busy fraction that is assumed for a peer without a fresh report, so that it is asked after
+/// all peers with one.
+const UNKNOWN_BUSY_FRACTION: f64 = 1.0;
 
-/// What came of the attempt.
-pub(crate) enum Moved {
-    /// A peer ran it.
+/// The outcome of an attempt to run a request at a peer.
+pub(crate) enum PeerRunOutcome {
+    /// A peer ran the request.
     Answered(Answer),
-    /// No peer ran it.
+    /// No peer ran the request.
     NotRun,
-    /// A peer may have run it.
+    /// A peer may have run the request.
     Unknown,
 }
 
 /// Offers the request to the least busy peers and runs it at the first that accepts.
-pub(crate) async fn run_at_peer(context: &RequestContext<'_>, body: &Bytes) -> Moved {
+pub(crate) async fn run_at_peer(context: &RequestContext<'_>, body: &Bytes) -> PeerRunOutcome {
     if body.len() > MAX_MOVED_BODY_BYTES {
-        return Moved::NotRun;
+        return PeerRunOutcome::NotRun;
     }
     for host in peers_to_ask(context) {
         match offer_and_run(context, host, body).await {
-            Moved::NotRun => {}
-            moved => return moved,
+            PeerRunOutcome::NotRun => {}
+            outcome => return outcome,
         }
     }
-    Moved::NotRun
+    PeerRunOutcome::NotRun
 }
 
-/// Returns the peers to which the request is offered: while slots are free here, one that lacks busy
-/// slots by the table, else the least busy ones.
+/// Returns the peers to which the request is offered.
+///
+/// While this target has free slots and is healthy, this is one random peer with fewer busy slots
+/// than its weight calls for; otherwise the least busy peers.
 fn peers_to_ask(context: &RequestContext<'_>) -> Vec<Ipv4Addr> {
     let health = context.target.health.borrow();
     if context.target.slots.has_free() && !health.is_failing() {
         let store = context.agent.control.store.borrow();
         let table = store.table(context.target.service);
-        let drawn = table.and_then(|table| context.target.draw_peer(table));
-        return drawn.into_iter().collect();
+        let peer = table.and_then(|table| context.target.pick_peer(table));
+        return peer.into_iter().collect();
     }
     least_busy(context)
 }
 
-/// Returns peers that reported a free slot, the least busy first; unheard ones come last.
+/// Returns the peers that reported a free slot, the least busy first, and then those without a
+/// fresh report.
 fn least_busy(context: &RequestContext<'_>) -> Vec<Ipv4Addr> {
     let now_ms = context.agent.control.now_ms();
     let store = context.agent.control.store.borrow();
@@ -69,16 +74,16 @@
         .rows
         .iter()
         .filter(|row| row.host != context.target.host);
-    let trusted = others.filter(|row| !suspicion.is_suspected(row.host, now_ms));
-    let mut peers: Vec<(f64, Ipv4Addr)> = trusted
+    let unsuspected = others.filter(|row| !suspicion.is_suspected(row.host, now_ms));
+    let mut peers: Vec<(f64, Ipv4Addr)> = unsuspected
         .filter(|row| row.weight > 0)
         .filter_map(|row| match peer_loads.fresh_load(row.host, now_ms) {
-            Some(known) if !has_free_slot(&known.report, row.slots) => None,
-            Some(known) => Some((
-                f64::from(known.report.busy_slots) / f64::from(row.slots),
+            Some(load) if !has_free_slot(&load.report, row.slots) => None,
+            Some(load) => Some((
+                f64::from(load.report.busy_slots) / f64::from(row.slots),
                 row.host,
             )),
-            None => Some((UNHEARD_BUSY, row.host)),
+            None => Some((UNKNOWN_BUSY_FRACTION, row.host)),
         })
         .collect();
     peers.sort_by(|a, b| a.0.total_cmp(&b.0));
@@ -90,31 +95,35 @@
     report.share_permille > 0 && u32::from(report.busy_slots) < slots
 }
 
-async fn offer_and_run(context: &RequestContext<'_>, host: Ipv4Addr, body: &Bytes) -> Moved {
+async fn offer_and_run(
+    context: &RequestContext<'_>,
+    host: Ipv4Addr,
+    body: &Bytes,
+) -> PeerRunOutcome {
     let peers = &context.agent.control.peers;
-    let timeout_ms = context.left_ms().min(u64::from(u32::MAX)) as u32;
+    let timeout_ms = context.remaining_ms().min(u64::from(u32::MAX)) as u32;
     let service = context.target.service;
-    let offered = peers.offer(host, service, timeout_ms).await;
-    let Ok(OfferReply::Accepted(ticket)) = offered else {
-        return Moved::NotRun;
+    let reply = peers.offer(host, service, timeout_ms).await;
+    let Ok(OfferReply::Accepted(ticket)) = reply else {
+        return PeerRunOutcome::NotRun;
     };
-    if context.left_ms() == 0 {
-        // The slot is freed by its hold time where this message is lost.
+    if context.remaining_ms() == 0 {
+        // If this message is lost, the slot is freed when its reservation expires.
         let _ = peers.cancel(host, &ticket).await;
-        return Moved::NotRun;
+        return PeerRunOutcome::NotRun;
     }
     let request = peer_request(context, body);
     match peers.run(host, &ticket, &request).await {
-        Ok(answer) if answer.code.is_not_run() => Moved::NotRun,
+        Ok(answer) if answer.code.is_not_run() => PeerRunOutcome::NotRun,
         Ok(answer) => {
             context.agent.control.metrics.requests_moved.inc();
-            Moved::Answered(peer_answer(answer))
+            PeerRunOutcome::Answered(peer_answer(answer))
         }
-        Err(_) => Moved::Unknown,
+        Err(_) => PeerRunOutcome::Unknown,
     }
 }
 
-/// Returns the request as it travels to a peer.
+/// Returns the request in the form that is sent to a peer.
 pub(crate) fn peer_request(context: &RequestContext<'_>, body: &Bytes) -> PeerRequest {
     PeerRequest {
         service: context.target.service,
@@ -122,11 +131,11 @@
         path: context.path.to_owned(),
         headers: backend::forwarded_headers(&context.head.headers),
         body: body.clone(),
-        timeout_ms: context.left_ms().min(u64::from(u32::MAX)) as u32,
+        timeout_ms: context.remaining_ms().min(u64::from(u32::MAX)) as u32,
     }
 }
 
-/// Returns a peer's answer as ours.
+/// Converts the answer of a peer.
 pub(crate) fn peer_answer(answer: PeerAnswer) -> Answer {
     if answer.code != Code::Answered {
         return Answer::refusal(answer.code, answer.retry_after_ms);
@@ -138,7 +147,7 @@
     })
 }
 
-/// Returns an answer that was read whole.
+/// Converts an answer that was read whole.
 pub(crate) fn whole_answer(answer: WholeAnswer) -> Answer {
     let mut headers: HeaderMap = answer.headers;
     headers.remove(http::header::CONTENT_LENGTH);
--- a/src/quic/peer_handlers.rs
+++ b/src/quic/peer_handlers.rs
@@ -1,4 +1,5 @@
-//! What an agent does for its peers: holds a slot for an offer, runs what comes with its ticket.
+//! The handlers for calls of peers: an offer reserves a slot, and a request with the ticket of the
+//! offer runs in it.
 
 use std::rc::Rc;
 
@@ -15,32 +16,32 @@
 use crate::links::peer_request::{PeerAnswer, PeerRequest};
 use crate::quic::agent::Agent;
 use crate::quic::answer::{Answer, AnswerBody};
+use crate::quic::at_most_once::{self, LedgerEntry};
 use crate::quic::caller_body::whole_body;
 use crate::quic::load_exchange;
-use crate::quic::local_run::{self, LocalRequest};
+use crate::quic::local_request::{self, LocalRequest};
 use crate::quic::request_spec;
 use crate::quic::reservation::Reservation;
-use crate::quic::run_once::{self, LedgerEntry};
 use crate::quic::target::Target;
 
-/// How long a slot is held for an accepted offer, in milliseconds.
+/// The time for which a slot is reserved for an accepted offer, in milliseconds.
 const OFFER_HOLD_MS: u64 = 1_000;
 
-/// Returns what an agent answers on control links.
+/// Returns the handlers of an agent for calls on control links.
 pub(crate) fn hooks(agent: &Rc<Agent>) -> NodeHooks {
-    let (loads, offers) = (agent.clone(), agent.clone());
-    let (runs, cancels, states) = (agent.clone(), agent.clone(), agent.clone());
+    let (load_agent, offer_agent) = (agent.clone(), agent.clone());
+    let (run_agent, cancel_agent, state_agent) = (agent.clone(), agent.clone(), agent.clone());
     NodeHooks {
-        exchange_load: Box::new(move |service, theirs| {
-            load_exchange::answer(&loads, service, theirs)
+        exchange_load: Box::new(move |service, peer_reports| {
+            load_exchange::answer(&load_agent, service, peer_reports)
         }),
-        offer: Box::new(move |service, timeout_ms| offer(&offers, service, timeout_ms)),
+        offer: Box::new(move |service, timeout_ms| offer(&offer_agent, service, timeout_ms)),
         run: Box::new(move |ticket, request| {
-            let agent = runs.clone();
+            let agent = run_agent.clone();
             Box::pin(async move { run(&agent, ticket, request).await })
         }),
-        cancel: Box::new(move |ticket| cancel(&cancels, &ticket)),
-        state: Box::new(move || states.state()),
+        cancel: Box::new(move |ticket| cancel(&cancel_agent, &ticket)),
+        state: Box::new(move || state_agent.state()),
     }
 }
 
@@ -75,10 +76,10 @@
 
 fn take_reservation(target: &Target, ticket: &SealedBytes) -> Option<SlotGuard> {
     let mut reservations = target.reservations.borrow_mut();
-    let held = reservations
+    let index = reservations
         .iter()
-        .position(|held| held.ticket == *ticket)?;
-    Some(reservations.swap_remove(held).slot)
+        .position(|reservation| reservation.ticket == *ticket)?;
+    Some(reservations.swap_remove(index).slot)
 }
 
 async fn run(agent: &Rc<Agent>, ticket: SealedBytes, request: PeerRequest) -> PeerAnswer {
@@ -88,20 +89,20 @@
     let Some(id) = agent.open_ticket(request.service, &ticket) else {
         return refused_answer(Code::BadRequest, 0);
     };
-    if !agent.is_own(&id) {
+    if !agent.is_issued_here(&id) {
         return refused_answer(Code::IncarnationGone, 0);
     }
     let digest = request_spec::digest(&request.method, &request.path, &request.headers);
     let begin = target.ledger.borrow_mut().begin(id.nonce, digest);
     let answer = match begin {
-        BeginOutcome::Run => run_begun(agent, &target, id.nonce, &ticket, request).await,
+        BeginOutcome::Run => run_new(agent, &target, id.nonce, &ticket, request).await,
         BeginOutcome::Reject(code) => Answer::refusal(code, target.slots.retry_after_ms()),
-        BeginOutcome::Answered(kept) => run_once::kept_answer(kept),
+        BeginOutcome::Answered(kept) => at_most_once::kept_answer(kept),
     };
     into_peer_answer(answer)
 }
 
-async fn run_begun(
+async fn run_new(
     agent: &Agent,
     target: &Rc<Target>,
     counter: u32,
@@ -116,10 +117,10 @@
     };
     let slot = match slot {
         Ok(slot) => slot,
-        Err(refusal) => return entry.refuse(refusal),
+        Err(refusal) => return entry.conclude_refused(refusal),
     };
     let Ok(method) = Method::from_bytes(request.method.as_bytes()) else {
-        return entry.refuse(Refusal {
+        return entry.conclude_refused(Refusal {
             code: Code::BadRequest,
             retry_after_ms: 0,
         });
@@ -132,7 +133,7 @@
         body: whole_body(request.body),
         deadline_ms,
     };
-    let outcome = local_run::run(local, slot, agent.control.clock).await;
+    let outcome = local_request::run(local, slot, agent.control.clock).await;
     entry.conclude(outcome)
 }
 
--- a/src/quic/quic_endpoint.rs
+++ b/src/quic/quic_endpoint.rs
@@ -16,35 +16,41 @@
 use crate::code::Code;
 use crate::config::settings::Settings;
 use crate::error::{Error, Result};
-use crate::quic::token_source::TokenSource;
+use crate::quic::token_generator::TokenGenerator;
 
-/// How long a flow may be silent before it has ended, in milliseconds.
+/// The idle timeout of a flow, in milliseconds.
 const IDLE_TIMEOUT_MS: u32 = 30_000;
-/// How often a silent flow is kept open, so that a feed without news survives.
-const KEEP_ALIVE: Duration = Duration::from_secs(8);
-/// The largest packet, so that it fits an Ethernet frame together with its envelope, in bytes.
+/// The interval of keep-alive packets on an idle flow, so that a feed without events stays open.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(8);
+/// The upper bound of MTU discovery, in bytes: a packet of this size fits an Ethernet frame
+/// together with its envelope.
 const MAX_MTU_BYTES: u16 = 1_400;
-/// How many requests of one flow may be open at once.
-const MAX_STREAMS: u32 = 256;
+/// The number of requests of one flow that may be open at once.
+const MAX_REQUEST_STREAMS: u32 = 256;
 
-/// Opens the endpoint, which is reached only through flow sockets of this process.
+/// Opens the endpoint on a local address, which only the flow sockets of this process use.
 pub(crate) async fn open(
     settings: &Settings,
-    server: &ServerConfig,
-    tokens: impl Fn() -> TokenSource + Send + Sync + 'static,
+    server_config: &ServerConfig,
+    token_generator: impl Fn() -> TokenGenerator + Send + Sync + 'static,
 ) -> Result<Endpoint> {
     let reset_key = settings.cluster_key.reset_key();
     let mut config = EndpointConfig::new(Arc::new(reset_key));
-    config.cid_generator(move || Box::new(tokens()));
+    config.cid_generator(move || Box::new(token_generator()));
     let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await?;
-    Ok(Endpoint::new(socket, config, Some(server.clone()), None)?)
+    Ok(Endpoint::new(
+        socket,
+        config,
+        Some(server_config.clone()),
+        None,
+    )?)
 }
 
-/// Reads the certificate and sets up QUIC for callers.
+/// Reads the certificate and returns the QUIC configuration for callers.
 ///
 /// # Errors
 ///
-/// Returns code 3004 where the settings name no certificate and 5001 where it can't be used.
+/// Returns code 3004 if the settings name no certificate or key, and 5001 if one can't be used.
 pub(crate) fn server_config(settings: &Settings) -> Result<ServerConfig> {
     let certificate_file = required(&settings.certificate_file, "certificate_file")?;
     let key_file = required(&settings.key_file, "key_file")?;
@@ -77,8 +83,8 @@
     discovery.upper_bound(MAX_MTU_BYTES);
     let mut transport = TransportConfig::default();
     transport.max_idle_timeout(Some(IdleTimeout::from(VarInt::from_u32(IDLE_TIMEOUT_MS))));
-    transport.keep_alive_interval(Some(KEEP_ALIVE));
+    transport.keep_alive_interval(Some(KEEP_ALIVE_INTERVAL));
     transport.mtu_discovery_config(Some(discovery));
-    transport.max_concurrent_bidi_streams(VarInt::from_u32(MAX_STREAMS));
+    transport.max_concurrent_bidi_streams(VarInt::from_u32(MAX_REQUEST_STREAMS));
     transport
 }
--- a/src/quic/request.rs
+++ b/src/quic/request.rs
@@ -1,4 +1,5 @@
-//! A caller's request: through the filters, to where it runs, and its final answer.
+//! The path of a caller's request through the filters to the place where it runs, and its final
+//! answer.
 
 use std::rc::Rc;
 
@@ -16,17 +17,17 @@
 use crate::quic::request_context::{RequestContext, ticket_for};
 use crate::quic::request_spec::RequestSpec;
 use crate::quic::target::Target;
-use crate::quic::{repeatable, run_once};
+use crate::quic::{at_most_once, repeatable};
 
 type AnswerStream = RequestStream<<BidiStream<Bytes> as QuicStream<Bytes>>::SendStream, Bytes>;
 
-/// A step that lets a request pass or gives its final answer.
+/// A check that lets a request pass or returns its final answer.
 type Filter = fn(&RequestContext<'_>) -> Option<Answer>;
 
-/// All steps before a request may wait for a slot, in their order.
-const FILTERS: &[Filter] = &[refuse_late, require_ticket];
+/// The checks in order, all made before a request may wait for a slot.
+const FILTERS: &[Filter] = &[refuse_expired, require_ticket];
 
-/// Serves one request to its final answer.
+/// Serves one request and sends its final answer.
 pub(crate) async fn serve(
     agent: &Rc<Agent>,
     target: &Rc<Target>,
@@ -37,7 +38,7 @@
     let (head, ()) = head.into_parts();
     let answer = answer(agent, target, &head, receiver).await;
     agent.control.metrics.requests.inc(answer.code);
-    // A caller that is gone needs no answer; dropping it cancels what still streams.
+    // If the caller has left, dropping the answer cancels a body that is still streamed.
     let _ = send(sender, answer).await;
 }
 
@@ -67,8 +68,8 @@
         return bad_request("the body ended early");
     };
     match spec.ticket {
-        Some(ticket) if !spec.repeatable => run_once::answer(&context, ticket, body).await,
-        _ if spec.feed => repeatable::feed(&context, body).await,
+        Some(ticket) if !spec.is_repeatable => at_most_once::answer(&context, ticket, body).await,
+        _ if spec.is_feed => repeatable::answer_feed(&context, body).await,
         _ => repeatable::answer(&context, body).await,
     }
 }
@@ -79,17 +80,17 @@
     answer
 }
 
-fn refuse_late(context: &RequestContext<'_>) -> Option<Answer> {
-    let late = context.spec.timeout_ms == 0;
-    late.then(|| {
+fn refuse_expired(context: &RequestContext<'_>) -> Option<Answer> {
+    let has_expired = context.spec.timeout_ms == 0;
+    has_expired.then(|| {
         Answer::refusal(Code::Deadline, context.target.slots.retry_after_ms())
             .with_ticket(ticket_for(context))
     })
 }
 
 fn require_ticket(context: &RequestContext<'_>) -> Option<Answer> {
-    let missing = !context.spec.repeatable && context.spec.ticket.is_none();
-    missing.then(|| Answer::refusal(Code::TicketNeeded, 0).with_ticket(ticket_for(context)))
+    let is_missing = !context.spec.is_repeatable && context.spec.ticket.is_none();
+    is_missing.then(|| Answer::refusal(Code::TicketNeeded, 0).with_ticket(ticket_for(context)))
 }
 
 async fn send(mut stream: AnswerStream, answer: Answer) -> Option<()> {
@@ -100,7 +101,7 @@
         AnswerBody::Stream(mut body) => {
             while let Some(frame) = body.frame().await {
                 let Ok(frame) = frame else {
-                    // A truncated answer must not look like a whole one.
+                    // The stream is reset, so that a truncated answer does not look complete.
                     stream.stop_stream(compio::quic::h3::error::Code::H3_INTERNAL_ERROR);
                     return None;
                 };
--- a/src/quic/request_context.rs
+++ b/src/quic/request_context.rs
@@ -1,4 +1,4 @@
-//! A request with what is known of it, for every step that decides on it.
+//! The context of a request, which every step of its processing uses.
 
 use std::rc::Rc;
 
@@ -7,11 +7,11 @@
 use crate::config::sealed_id::SealedBytes;
 use crate::quic::agent::Agent;
 use crate::quic::caller_body::CallerBody;
-use crate::quic::local_run::LocalRequest;
+use crate::quic::local_request::LocalRequest;
 use crate::quic::request_spec::RequestSpec;
 use crate::quic::target::Target;
 
-/// A request with what is known of it.
+/// A request with its agent, target and deadline.
 pub(crate) struct RequestContext<'a> {
     pub(crate) agent: &'a Rc<Agent>,
     pub(crate) target: &'a Rc<Target>,
@@ -22,12 +22,12 @@
 }
 
 impl RequestContext<'_> {
-    /// Returns the time that the request has left, in milliseconds.
-    pub(crate) fn left_ms(&self) -> u64 {
+    /// Returns the time until the deadline, in milliseconds.
+    pub(crate) fn remaining_ms(&self) -> u64 {
         self.deadline_ms.saturating_sub(self.agent.control.now_ms())
     }
 
-    /// Returns the request as it runs at this host's backend server.
+    /// Returns the request for this host's backend server.
     pub(crate) fn local_request(&self, body: CallerBody) -> LocalRequest {
         LocalRequest {
             target: self.target.clone(),
@@ -40,9 +40,9 @@
     }
 }
 
-/// Returns a ticket for a request that may not be repeated.
+/// Returns a new ticket if the request may not be repeated.
 pub(crate) fn ticket_for(context: &RequestContext<'_>) -> Option<SealedBytes> {
-    if context.spec.repeatable {
+    if context.spec.is_repeatable {
         return None;
     }
     context.agent.issue_ticket(context.target)
--- a/src/quic/stateless_reset.rs
+++ b/src/quic/stateless_reset.rs
@@ -1,4 +1,4 @@
-//! Stateless resets (RFC 9000 section 10.3) for flows whose process is gone.
+//! Stateless resets (RFC 9000 section 10.3) for flows whose process has ended.
 
 use rand::Rng;
 use ring::hmac;
@@ -7,11 +7,12 @@
 const MIN_RESET_BYTES: usize = 21;
 const MAX_RESET_BYTES: usize = 42;
 
-/// Makes the packet that tells a caller at once that its flow has ended.
+/// Creates a stateless reset, by which the caller ends its flow without waiting for a timeout.
 ///
-/// The token follows from the connection id and a key that all incarnations share, so any agent can
-/// end a flow of an earlier one. Returns `None` for a packet so short that the answer could be
-/// answered with a reset in turn.
+/// The reset token is derived from the connection ID and a key that all incarnations share, so that
+/// any agent can reset a flow of an earlier one. The reset is shorter than the received packet.
+/// Returns `None` for a packet so short that two endpoints could answer each other's resets
+/// forever.
 pub(crate) fn stateless_reset(
     key: &hmac::Key,
     connection_id: &[u8],
--- a/src/quic/steering.rs
+++ b/src/quic/steering.rs
@@ -1,4 +1,5 @@
-//! Where a balancer sends a packet of a caller: to the agent in its token, or to its owner.
+//! The routing of callers' packets at a balancer: to the agent that the token names, or to the
+//! owner of an opener.
 
 use std::net::Ipv4Addr;
 
@@ -11,24 +12,24 @@
 use crate::error::{Error, Result};
 use crate::quic::packet;
 
-/// Where a packet goes.
+/// The destination of a packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PacketRoute {
-    /// The host whose agent takes it.
+    /// The host of the agent.
     pub host: Ipv4Addr,
-    /// Whether it may open a flow, so that an answer is expected.
+    /// Whether the packet may open a flow, so that an answer is expected.
     pub may_open: bool,
 }
 
-/// Chooses the agent for a packet that came in for `service`.
+/// Chooses the agent for a packet to `service`.
 ///
-/// A token is followed with no look at the table or the host list: the flow stays with the agent
-/// that accepted it, whatever this balancer believes.
+/// A token is followed without checking the table or the host list, so that the flow stays with the
+/// agent that accepted it whatever configuration this balancer has.
 ///
 /// # Errors
 ///
-/// Returns code 4001 or 4002 for a packet that names no flow, 4004 or 4006 where no agent can be
-/// named.
+/// Returns code 4001 or 4002 for a packet without a connection ID or token that can be routed, 4004
+/// for an opener of an unknown service and 4006 if no target can be chosen.
 pub fn steer(
     store: &ConfigStore,
     suspicion: &Suspicion,
@@ -37,14 +38,19 @@
     now_ms: u64,
 ) -> Result<PacketRoute> {
     let view = packet::parse(datagram)?;
-    if let Some(token) = SealedId::open(store.key_ring(), SealedIdKind::Token, service, view.id) {
+    if let Some(token) = SealedId::open(
+        store.key_ring(),
+        SealedIdKind::Token,
+        service,
+        view.connection_id,
+    ) {
         return Ok(PacketRoute {
             host: token.host,
             may_open: false,
         });
     }
     if !view.may_open {
-        return Err(Error::new(Code::PacketUnroutable, "no token"));
+        return Err(Error::new(Code::PacketUnroutable, "no valid routing token"));
     }
     let host = owner_host(store, suspicion, service, view.opener_hash(), now_ms)?;
     Ok(PacketRoute {
@@ -53,11 +59,11 @@
     })
 }
 
-/// Returns the host of the opener's owner, or of the runner-up while the owner is suspected.
+/// Returns the host of an opener's owner. Suspected hosts are skipped unless all are suspected.
 ///
 /// # Errors
 ///
-/// Returns code 4004 for an unknown service and 4006 where no target may be chosen.
+/// Returns code 4004 for an unknown service and 4006 if no target can be chosen.
 pub fn owner_host(
     store: &ConfigStore,
     suspicion: &Suspicion,
--- a/src/quic/target.rs
+++ b/src/quic/target.rs
@@ -1,4 +1,4 @@
-//! One target of this host: its flows, slots, ledger and what it knows of its peers.
+//! A target of this host: its flows, slots and ledger, and the load of its peers.
 
 use std::cell::{Cell, RefCell};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -20,7 +20,7 @@
 use crate::quic::health::Health;
 use crate::quic::reservation::Reservation;
 
-/// A target that this agent serves.
+/// A target of this host.
 pub(crate) struct Target {
     pub(crate) service: ServiceId,
     pub(crate) service_name: String,
@@ -29,19 +29,19 @@
     pub(crate) endpoint: Endpoint,
     pub(crate) endpoint_address: SocketAddr,
     pub(crate) backend: Cell<SocketAddr>,
-    pub(crate) connections: Cell<u32>,
+    pub(crate) max_connections: Cell<u32>,
     pub(crate) slots: Rc<SlotQueue>,
     pub(crate) admission: RefCell<Admission>,
     pub(crate) peer_loads: RefCell<PeerLoads>,
     pub(crate) health: RefCell<Health>,
     pub(crate) moved_fraction: RefCell<MovedFraction>,
     pub(crate) ledger: RefCell<Ledger>,
-    pub(crate) budget: RefCell<RetryBudget>,
-    pub(crate) drain: DrainSignal,
+    pub(crate) retry_budget: RefCell<RetryBudget>,
+    pub(crate) drain_signal: DrainSignal,
     pub(crate) reservations: RefCell<Vec<Reservation>>,
     clock: Clock,
     incarnation: u32,
-    sequence: Cell<u32>,
+    report_sequence: Cell<u32>,
 }
 
 impl Target {
@@ -60,35 +60,35 @@
             endpoint_address: endpoint.local_addr()?,
             endpoint,
             backend: Cell::new(row.backend),
-            connections: Cell::new(row.connections),
+            max_connections: Cell::new(row.connections),
             slots: SlotQueue::new(row.slots, clock),
             admission: RefCell::new(Admission::new(row.host, clock.now_ms())),
             peer_loads: RefCell::default(),
             health: RefCell::default(),
             moved_fraction: RefCell::default(),
             ledger: RefCell::new(Ledger::new(LEDGER_ENTRIES)),
-            budget: RefCell::default(),
-            drain: DrainSignal::new(),
+            retry_budget: RefCell::default(),
+            drain_signal: DrainSignal::new(),
             reservations: RefCell::default(),
             clock,
             incarnation,
-            sequence: Cell::new(0),
+            report_sequence: Cell::new(0),
         }))
     }
 
-    /// Takes the limits of a changed row, or drains where the row is gone; says whether a drain
-    /// began or ended.
-    pub(crate) fn apply(&self, row: Option<&TableRow>, host_leaves: bool) -> bool {
+    /// Applies the limits of a changed row, and drains if the row was removed or the host is
+    /// leaving. Returns whether a drain started or ended.
+    pub(crate) fn apply_row(&self, row: Option<&TableRow>, is_host_leaving: bool) -> bool {
         if let Some(row) = row {
             self.backend.set(row.backend);
-            self.connections.set(row.connections);
+            self.max_connections.set(row.connections);
             self.slots.set_limit(row.slots);
         }
-        self.set_draining(row.is_none() || host_leaves)
+        self.set_draining(row.is_none() || is_host_leaving)
     }
 
-    /// Starts or ends the drain and says whether that was news; flows that run are told to move, and
-    /// none is cut.
+    /// Starts or ends the drain, and returns whether this changed anything. Open flows get a
+    /// GOAWAY, and none is reset.
     pub(crate) fn set_draining(&self, draining: bool) -> bool {
         let mut admission = self.admission.borrow_mut();
         if admission.is_draining() == draining {
@@ -97,9 +97,9 @@
         admission.set_draining(draining);
         log::info!("event=drain service={} on={draining}", self.service_name);
         if draining {
-            self.drain.start();
+            self.drain_signal.start();
         } else {
-            self.drain.rearm();
+            self.drain_signal.reset();
         }
         true
     }
@@ -108,7 +108,7 @@
         self.admission.borrow().is_draining()
     }
 
-    /// Returns the share of its weight that the target takes now, in thousandths.
+    /// Returns the share of its weight that the target takes at present, in thousandths.
     pub(crate) fn share_permille(&self) -> u16 {
         let health_permille = self.health.borrow().share_permille();
         let now_ms = self.clock.now_ms();
@@ -117,13 +117,13 @@
             .share_permille(health_permille, now_ms)
     }
 
-    /// Returns a new report of this target's load, newer than any before.
-    pub(crate) fn report(&self) -> LoadReport {
-        self.sequence.set(self.sequence.get() + 1);
+    /// Returns a report of the current load with the next sequence number.
+    pub(crate) fn next_report(&self) -> LoadReport {
+        self.report_sequence.set(self.report_sequence.get() + 1);
         LoadReport {
             host: self.host,
             incarnation: self.incarnation,
-            sequence: self.sequence.get(),
+            sequence: self.report_sequence.get(),
             open_flows: self.admission.borrow().open_flows(),
             busy_slots: self.slots.busy().min(u32::from(u16::MAX)) as u16,
             age_cs: 0,
@@ -132,52 +132,56 @@
         }
     }
 
-    /// Takes the busy time of the last `span_ms` and adjusts which part of the requests moves.
-    pub(crate) fn balance(&self, table: &Table, span_ms: u64) {
-        let busy_slots = self.slots.take_busy_ms() as f64 / span_ms as f64;
+    /// Adjusts the fraction of requests that is moved by the busy time of the last `period_ms`.
+    pub(crate) fn adjust_moved_fraction(&self, table: &Table, period_ms: u64) {
+        let busy_slots = self.slots.take_busy_ms() as f64 / period_ms as f64;
         let weight = table.row_on(self.host).map_or(0, |row| row.weight);
-        let (_, standings) = self.busy_peers(table);
+        let (_, slot_loads) = self.peer_slot_loads(table);
         let mut moved_fraction = self.moved_fraction.borrow_mut();
         moved_fraction.observe(busy_slots);
-        moved_fraction.adjust(f64::from(weight), &standings);
+        moved_fraction.adjust(f64::from(weight), &slot_loads);
     }
 
-    /// Draws the peer for a request that moves to level the busy slots.
-    pub(crate) fn draw_peer(&self, table: &Table) -> Option<Ipv4Addr> {
+    /// Picks a random peer for a moved request, weighted by the busy slots that it is below the
+    /// mean.
+    pub(crate) fn pick_peer(&self, table: &Table) -> Option<Ipv4Addr> {
         let weight = table.row_on(self.host)?.weight;
-        let (hosts, standings) = self.busy_peers(table);
+        let (hosts, slot_loads) = self.peer_slot_loads(table);
         let moved_fraction = self.moved_fraction.borrow();
-        let drawn = moved_fraction.pick_peer(f64::from(weight), &standings, &mut rand::rng())?;
-        Some(hosts[drawn])
+        let index = moved_fraction.pick_peer(f64::from(weight), &slot_loads, &mut rand::rng())?;
+        Some(hosts[index])
     }
 
-    /// Returns the hosts of peers whose load is known, and their busy slots in the same order.
-    fn busy_peers(&self, table: &Table) -> (Vec<Ipv4Addr>, Vec<SlotLoad>) {
+    /// Returns the hosts of the peers with a fresh load report, and their slot loads in the same
+    /// order.
+    fn peer_slot_loads(&self, table: &Table) -> (Vec<Ipv4Addr>, Vec<SlotLoad>) {
         let peer_loads = self.peer_loads.borrow();
         let now_ms = self.clock.now_ms();
-        let standing = |row: &TableRow| {
+        let slot_load = |row: &TableRow| {
             let report = peer_loads.fresh_load(row.host, now_ms)?.report;
             let weight = f64::from(row.weight) * f64::from(report.share_permille) / 1_000.0;
             let busy_slots = f64::from(report.busy_centislots) / 100.0;
             Some((row.host, SlotLoad { busy_slots, weight }))
         };
         let others = table.rows.iter().filter(|row| row.host != self.host);
-        others.filter_map(standing).unzip()
+        others.filter_map(slot_load).unzip()
     }
 
-    /// Frees the slots of offers that were accepted and never used.
+    /// Frees the slots of accepted offers whose request did not arrive in time.
     pub(crate) fn expire_reservations(&self) {
         let now_ms = self.clock.now_ms();
         let mut reservations = self.reservations.borrow_mut();
         let all = std::mem::take(&mut *reservations);
-        let (kept, expired): (Vec<_>, Vec<_>) =
-            all.into_iter().partition(|held| held.expires_ms > now_ms);
+        let (kept, expired): (Vec<_>, Vec<_>) = all
+            .into_iter()
+            .partition(|reservation| reservation.expires_ms > now_ms);
         *reservations = kept;
         drop(reservations);
-        // Freeing a slot may grant it to a task, so it is done outside the borrow.
+        // Freeing a slot may wake a queued request, so it is done after the borrow has ended.
         drop(expired);
     }
 
+    /// Returns the part of the state dump for this target.
     pub(crate) fn state(&self) -> Value {
         let now_ms = self.clock.now_ms();
         json!({
--- a/src/quic/token_source.rs
+++ b/src/quic/token_generator.rs
@@ -1,4 +1,4 @@
-//! Connection ids that carry a routing token.
+//! The generator of connection IDs, which are routing tokens.
 
 use std::net::Ipv4Addr;
 use std::sync::{Arc, RwLock};
@@ -10,18 +10,18 @@
 use crate::config::sealed_id::{SEALED_ID_BYTES, SealedId, SealedIdKind};
 use crate::config::service_id::ServiceId;
 
-/// The keys in force, shared with the endpoints.
-pub(crate) type SharedRing = Arc<RwLock<KeyRing>>;
+/// The keys in force, shared between the agent and its endpoints.
+pub(crate) type SharedKeyRing = Arc<RwLock<KeyRing>>;
 
-/// Makes the connection ids of one target.
-pub(crate) struct TokenSource {
-    pub(crate) ring: SharedRing,
+/// Generates the connection IDs of one target.
+pub(crate) struct TokenGenerator {
+    pub(crate) key_ring: SharedKeyRing,
     pub(crate) host: Ipv4Addr,
     pub(crate) incarnation: u32,
     pub(crate) service: ServiceId,
 }
 
-impl ConnectionIdGenerator for TokenSource {
+impl ConnectionIdGenerator for TokenGenerator {
     fn generate_cid(&mut self) -> ConnectionId {
         let mut random = rand::rng();
         let token = SealedId {
@@ -30,11 +30,11 @@
             service: self.service,
             nonce: random.random(),
         };
-        let ring = self
-            .ring
+        let key_ring = self
+            .key_ring
             .read()
             .unwrap_or_else(|poisoned| poisoned.into_inner());
-        ConnectionId::new(&token.seal(&ring, SealedIdKind::Token, random.random()))
+        ConnectionId::new(&token.seal(&key_ring, SealedIdKind::Token, random.random()))
     }
 
     fn cid_len(&self) -> usize {
