--- a/lab/src/opaque/backend.rs
+++ b/lab/src/opaque/backend.rs
@@ -9,7 +9,7 @@
 use compio::runtime::JoinHandle;
 use endivedyke::Result;
 
-use crate::opaque::flow_end::FlowEnd;
+use crate::opaque::flow_endpoint::FlowEndpoint;
 use crate::opaque::packet::{ACK, BOUNCED, FIN, Packet, RST, Received, SYN};
 
 const TICK: Duration = Duration::from_millis(2);
@@ -72,7 +72,7 @@
 struct ServerFlow {
     caller: SocketAddrV4,
     called: SocketAddrV4,
-    end: FlowEnd,
+    end: FlowEndpoint,
     work: Option<Work>,
 }
 
@@ -293,7 +293,7 @@
     fn establish(&mut self, index: usize, packet: &Packet, now_ms: u64) {
         let half = self.half_open.swap_remove(index);
         let sequence = half.sequence.wrapping_add(1);
-        let mut end = FlowEnd::new(half.called, half.caller, sequence, half.expected);
+        let mut end = FlowEndpoint::new(half.called, half.caller, sequence, half.expected);
         end.take_packet(packet, now_ms);
         self.open_flows
             .borrow_mut()
--- a/lab/src/opaque/callers.rs
+++ b/lab/src/opaque/callers.rs
@@ -14,14 +14,14 @@
 pub use crate::opaque::callers::call_tally::CallTally;
 
 use crate::opaque::backend::{OpenFlows, answer, header};
-use crate::opaque::flow_end::FlowEnd;
+use crate::opaque::flow_endpoint::FlowEndpoint;
 use crate::opaque::packet::{ACK, Packet, RST, Received, SYN};
 use crate::opaque::routers::Routers;
 
 const TICK: Duration = Duration::from_millis(2);
 const MAX_PACKET_BYTES: usize = 2_048;
 /// When copies of an opener are sent, in milliseconds after the first.
-pub(crate) const COPIES_MS: [u64; 2] = [200, 600];
+pub(crate) const OPENER_COPIES_MS: [u64; 2] = [200, 600];
 /// How long an opener may stay without an answer, in milliseconds.
 const OPEN_TIMEOUT_MS: u64 = 1_400;
 /// How far from the next expected number a reset of an open flow may be.
@@ -29,7 +29,7 @@
 /// How often a request is tried again.
 const RETRIES: u32 = 2;
 /// How long a request may take with all its tries, in milliseconds, where operators tell nothing else.
-pub(crate) const LIMIT_MS: u64 = 3_000;
+pub(crate) const REQUEST_LIMIT_MS: u64 = 3_000;
 
 enum Stage {
     Idle {
@@ -40,7 +40,7 @@
         first_ms: u64,
         copies: usize,
     },
-    Open(FlowEnd),
+    Open(FlowEndpoint),
 }
 
 struct CallerState {
@@ -229,7 +229,7 @@
                 let local = SocketAddrV4::new(self.host, caller.port);
                 let first = sequence.wrapping_add(1);
                 let expected = packet.sequence.wrapping_add(1);
-                let end = FlowEnd::new(local, packet.source, first, expected);
+                let end = FlowEndpoint::new(local, packet.source, first, expected);
                 caller.stage = Stage::Open(end);
                 self.send_request(index);
             }
@@ -406,7 +406,7 @@
                 let waited_ms = now_ms - *first_ms;
                 if waited_ms >= OPEN_TIMEOUT_MS {
                     self.try_again(index);
-                } else if COPIES_MS
+                } else if OPENER_COPIES_MS
                     .get(*copies)
                     .is_some_and(|due_ms| waited_ms >= *due_ms)
                 {
@@ -461,7 +461,7 @@
 }
 
 /// Takes a whole message from what was received.
-fn whole_message(end: &mut FlowEnd) -> Option<String> {
+fn whole_message(end: &mut FlowEndpoint) -> Option<String> {
     let text = String::from_utf8_lossy(end.received()).into_owned();
     let head_bytes = text.find("\r\n\r\n")? + 4;
     let body_bytes: usize = header(&text, "Content-Length").parse().ok()?;
--- a/lab/src/opaque/flow_end.rs
+++ b/lab/src/opaque/flow_endpoint.rs
@@ -13,7 +13,7 @@
 
 /// The state of one end.
 #[derive(Debug, Clone)]
-pub(crate) struct FlowEnd {
+pub(crate) struct FlowEndpoint {
     local: SocketAddrV4,
     remote: SocketAddrV4,
     /// The number of the first byte that the other end has not acknowledged.
@@ -31,7 +31,7 @@
     pub(crate) repeats: u32,
 }
 
-impl FlowEnd {
+impl FlowEndpoint {
     /// Makes an end after the handshake.
     pub(crate) fn new(
         local: SocketAddrV4,
--- a/lab/src/opaque/load.rs
+++ b/lab/src/opaque/load.rs
@@ -41,13 +41,13 @@
     let before = cpu_ms(&site)?;
     let paused = |service, feeds, claims| CallPlan {
         pause_ms: plan.pause_ms,
-        ..site.plan(service, feeds, claims)
+        ..site.call_plan(service, feeds, claims)
     };
     let plans = [
         paused(0, plan.feeds, plan.claims),
         paused(1, plan.feeds / 4, plan.claims / 4),
     ];
-    site.call(&plans)?;
+    site.start_callers(&plans)?;
     let targets = services[0].1;
     let mut imbalance = Imbalance::default();
     for second in 0..plan.seconds {
@@ -58,7 +58,7 @@
         imbalance.sample(&site, targets);
     }
     let after = cpu_ms(&site)?;
-    let tally = site.finish().await;
+    let tally = site.finish_callers().await;
     Ok(report(
         plan,
         services[0].0,
@@ -158,13 +158,13 @@
         tally.requests,
         tally.answered,
         tally.wrong,
-        site.doubled(),
+        site.claims_run_twice(),
         tally.reset,
         tally.failed,
         tally.refused,
         tally.shed,
         tally.slowest_ms,
-        site.returned(),
+        site.returned_packets(),
         100.0 * imbalance.sum / samples,
         100.0 * imbalance.worst,
         cpu_ms / tally.requests.max(1) as f64,
--- a/lab/src/opaque/mod.rs
+++ b/lab/src/opaque/mod.rs
@@ -3,7 +3,7 @@
 
 mod backend;
 mod callers;
-mod flow_end;
+mod flow_endpoint;
 mod load;
 mod packet;
 mod proxy;
@@ -13,7 +13,7 @@
 mod soak;
 mod store;
 
-pub(crate) use crate::opaque::callers::COPIES_MS;
+pub(crate) use crate::opaque::callers::OPENER_COPIES_MS;
 pub(crate) use crate::opaque::load::{OpaqueLoadPlan, run as run_opaque_load};
 
 pub use crate::opaque::callers::{CallPlan, CallTally};
@@ -21,4 +21,4 @@
 pub use crate::opaque::quickstart::run_opaque_quickstart;
 pub use crate::opaque::site::{OpaqueSite, OpaqueSiteBuilder};
 pub use crate::opaque::soak::run_soak;
-pub use crate::opaque::store::{StoreCopy, StoreFault, StoreHandle};
+pub use crate::opaque::store::{StoreFault, StoreHandle, StoreSnapshot};
--- a/lab/src/opaque/proxy.rs
+++ b/lab/src/opaque/proxy.rs
@@ -71,12 +71,12 @@
     }
 
     /// Breaks all open connections.
-    pub fn reset(&self) {
+    pub fn break_connections(&self) {
         self.links.open.borrow_mut().clear();
     }
 
     /// Lets nothing pass any more on the connections that are open now; they stay open.
-    pub fn silence_open(&self) {
+    pub fn silence_open_connections(&self) {
         self.links.silent_below.set(self.links.next.get());
     }
 }
--- a/lab/src/opaque/quickstart.rs
+++ b/lab/src/opaque/quickstart.rs
@@ -26,7 +26,7 @@
         .service("study-intake", 1, 4, 10);
     let mut site = builder.start().await?;
     say("starting callers: 30 feeds and 12 claims");
-    site.call(&[site.plan(0, 20, 8), site.plan(1, 10, 4)])?;
+    site.start_callers(&[site.call_plan(0, 20, 8), site.call_plan(1, 10, 4)])?;
     compio::time::sleep(Duration::from_secs(2)).await;
     say("restarting a balancer");
     if let Some(balancer) = site.balancer(0) {
@@ -38,10 +38,13 @@
     say("draining a backend server of panel-front");
     site.drain_backend(0);
     compio::time::sleep(Duration::from_secs(2)).await;
-    let tally = site.finish().await;
-    let line = line(&tally, site.doubled());
+    let tally = site.finish_callers().await;
+    let line = line(&tally, site.claims_run_twice());
     let clean = tally.answered == tally.requests && tally.wrong == 0 && tally.reset == 0;
-    Ok((line, clean && site.doubled() == 0 && site.strayed() == 0))
+    Ok((
+        line,
+        clean && site.claims_run_twice() == 0 && site.misdelivered_packets() == 0,
+    ))
 }
 
 fn line(tally: &CallTally, doubled: usize) -> String {
--- a/lab/src/opaque/site.rs
+++ b/lab/src/opaque/site.rs
@@ -3,10 +3,10 @@
 mod backends;
 mod control_proxy;
 mod faults;
+mod observations;
 mod processes;
-mod restored_store;
-mod seen;
 mod settings;
+mod store_recovery;
 
 use std::cell::RefCell;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4};
@@ -20,7 +20,7 @@
 
 use crate::loopback_net::LoopbackNet;
 use crate::opaque::backend::{BackendHandle, BackendJournal, Connections, OpenFlows};
-use crate::opaque::callers::{CallPlan, CallTally, CallersHandle, LIMIT_MS};
+use crate::opaque::callers::{CallPlan, CallTally, CallersHandle, REQUEST_LIMIT_MS};
 use crate::opaque::proxy::ProxyHandle;
 use crate::opaque::routers::Routers;
 use crate::opaque::store::StoreHandle;
@@ -113,13 +113,13 @@
     }
 
     /// Lets processes write log lines to pipes that nobody reads.
-    pub fn unread_logs(mut self) -> Self {
+    pub fn log_to_unread_pipes(mut self) -> Self {
         self.log_to_pipe = true;
         self
     }
 
     /// Lets processes append their log lines to a file for each host in a folder.
-    pub fn logs_to(mut self, folder: &Path) -> Self {
+    pub fn log_to_folder(mut self, folder: &Path) -> Self {
         self.log_folder = Some(folder.to_owned());
         self
     }
@@ -227,7 +227,7 @@
     }
 
     /// Returns the availability zone of a backend server.
-    pub fn zone_of(&self, index: usize) -> &'static str {
+    pub fn backend_zone(&self, index: usize) -> &'static str {
         zone(self.agent_host(index))
     }
 
@@ -242,7 +242,7 @@
     }
 
     /// Returns the address that callers call for a service.
-    pub fn called(&self, service: usize) -> SocketAddrV4 {
+    pub fn called_address(&self, service: usize) -> SocketAddrV4 {
         SocketAddrV4::new(
             Ipv4Addr::new(198, 18, 0, 1),
             FIRST_CALLED_PORT + service as u16,
@@ -255,19 +255,19 @@
     }
 
     /// Routes a called address to another service.
-    pub fn route(&mut self, called: usize, service: usize) {
+    pub fn set_route(&mut self, called: usize, service: usize) {
         self.routed[called] = service;
         self.publish_routes();
     }
 
     /// Takes a called address away.
-    pub fn unroute_last(&mut self) {
+    pub fn remove_last_route(&mut self) {
         self.routed.pop();
         self.publish_routes();
     }
 
     /// Routes one more address that nobody calls.
-    pub fn route_idle_address(&mut self) {
+    pub fn add_idle_route(&mut self) {
         self.idle_addresses += 1;
         self.publish_routes();
     }
@@ -284,7 +284,7 @@
         let routes: Vec<_> = routed
             .chain(idle)
             .map(|(called, service)| {
-                let address = self.called(called);
+                let address = self.called_address(called);
                 let mut route = json!({
                     "name": format!("r-{called}"),
                     "host": address.ip().to_string(),
@@ -324,7 +324,7 @@
     /// # Errors
     ///
     /// Returns code 5001 where the callers' address is taken.
-    pub fn call(&mut self, plans: &[CallPlan]) -> Result<()> {
+    pub fn start_callers(&mut self, plans: &[CallPlan]) -> Result<()> {
         let host = self.ip(200);
         self.callers = Some(CallersHandle::start(
             host,
@@ -337,14 +337,14 @@
     }
 
     /// Returns a plan for callers of a service.
-    pub fn plan(&self, service: usize, feeds: usize, claims: usize) -> CallPlan {
+    pub fn call_plan(&self, service: usize, feeds: usize, claims: usize) -> CallPlan {
         CallPlan {
             service: self.spec.services[service].name.clone(),
-            called: self.called(service),
+            called: self.called_address(service),
             feeds,
             claims,
             pause_ms: 50,
-            limit_ms: self.spec.deadline_ms.map_or(LIMIT_MS, |(_, ms)| ms),
+            limit_ms: self.spec.deadline_ms.map_or(REQUEST_LIMIT_MS, |(_, ms)| ms),
         }
     }
 
@@ -371,7 +371,7 @@
     }
 
     /// Ends the callers and returns what they saw.
-    pub async fn finish(&self) -> CallTally {
+    pub async fn finish_callers(&self) -> CallTally {
         match &self.callers {
             Some(callers) => callers.finish().await,
             None => CallTally::default(),
--- a/lab/src/opaque/site/backends.rs
+++ b/lab/src/opaque/site/backends.rs
@@ -35,7 +35,7 @@
     /// Returns code 5001 where an address is taken.
     pub async fn start_backend(&mut self, index: usize, service: usize) -> Result<()> {
         let id = format!("i-{:08x}", rand::random::<u32>());
-        self.start_backend_as(&id, index, service).await
+        self.start_backend_with_id(&id, index, service).await
     }
 
     /// Starts a new lifetime of a backend server under the id that it had, and registers it.
@@ -43,7 +43,12 @@
     /// # Errors
     ///
     /// Returns code 5001 where an address is taken.
-    pub async fn start_backend_as(&mut self, id: &str, index: usize, service: usize) -> Result<()> {
+    pub async fn start_backend_with_id(
+        &mut self,
+        id: &str,
+        index: usize,
+        service: usize,
+    ) -> Result<()> {
         let host = self.agent_host(index);
         let spec = &self.spec.services[service];
         let spec = BackendSpec {
@@ -81,7 +86,7 @@
     fn called_of(&self, service: usize) -> Vec<SocketAddrV4> {
         let routed = self.routed.iter().enumerate();
         let own = routed.filter(|(_, routed)| **routed == service);
-        own.map(|(called, _)| self.called(called)).collect()
+        own.map(|(called, _)| self.called_address(called)).collect()
     }
 
     pub(super) fn register(&self, index: usize, state: &str) {
--- a/lab/src/opaque/site/faults.rs
+++ b/lab/src/opaque/site/faults.rs
@@ -41,7 +41,7 @@
     }
 
     /// Lets a backend server that is slow or hangs work as usual again.
-    pub fn restore_pace(&self, index: usize) {
+    pub fn resume_normal_work(&self, index: usize) {
         self.set_pace(index, Pace::Usual);
     }
 
@@ -52,27 +52,27 @@
     }
 
     /// Removes a backend server's entry from the store.
-    pub fn expire_entry(&self, id: &str) {
+    pub fn remove_entry(&self, id: &str) {
         self.store.remove(&format!("servers/{id}"));
     }
 
     /// Asks that an availability zone gets no new flow.
-    pub fn evacuate(&self, zone: &str) {
+    pub fn evacuate_zone(&self, zone: &str) {
         self.evacuated.borrow_mut().push(zone.to_owned());
         self.store
             .put(&format!("{EVACUATE_PREFIX}{zone}"), &json!({}));
     }
 
     /// Takes an evacuated availability zone back.
-    pub fn take_back(&self, zone: &str) {
+    pub fn take_zone_back(&self, zone: &str) {
         self.evacuated.borrow_mut().retain(|known| known != zone);
         self.store.remove(&format!("{EVACUATE_PREFIX}{zone}"));
     }
 
     /// Takes a backend server's entry away while the server lives, as a store that was away does.
-    pub fn lapse(&self, index: usize) {
+    pub fn lapse_entry(&self, index: usize) {
         if let Some(backend) = &self.backends[index] {
-            self.expire_entry(&backend.id);
+            self.remove_entry(&backend.id);
         }
     }
 
@@ -95,7 +95,7 @@
     }
 
     /// Publishes a backend server's entry again, if the server lives.
-    pub fn register_again(&self, index: usize) {
+    pub fn rewrite_entry(&self, index: usize) {
         let draining = self.backends[index]
             .as_ref()
             .is_some_and(BackendHandle::is_draining);
--- a/lab/src/opaque/site/seen.rs
+++ b/lab/src/opaque/site/observations.rs
@@ -8,7 +8,7 @@
 
 impl OpaqueSite {
     /// Returns the ids of all requests that backend servers ran.
-    pub fn ran(&self) -> Vec<String> {
+    pub fn executed_requests(&self) -> Vec<String> {
         let journals = self.journals.iter();
         let mut ran: Vec<String> = journals
             .flat_map(|journal| journal.borrow().ran.clone())
@@ -18,19 +18,19 @@
     }
 
     /// Returns how many openers reached a backend server's host.
-    pub fn opened(&self, index: usize) -> usize {
+    pub fn openers_received(&self, index: usize) -> usize {
         self.journals[index].borrow().opened
     }
 
     /// Returns how many claims ran more than once.
-    pub fn doubled(&self) -> usize {
-        let ran = self.ran();
+    pub fn claims_run_twice(&self) -> usize {
+        let ran = self.executed_requests();
         let claims: Vec<&String> = ran.iter().filter(|id| id.starts_with("claim")).collect();
         claims.windows(2).filter(|pair| pair[0] == pair[1]).count()
     }
 
     /// Returns how many packets reached backend servers that nobody wrote so, or of other services.
-    pub fn strayed(&self) -> u64 {
+    pub fn misdelivered_packets(&self) -> u64 {
         let journals = self.journals.iter();
         journals
             .map(|journal| journal.borrow().forged + journal.borrow().foreign)
@@ -38,7 +38,7 @@
     }
 
     /// Returns how many packets backend servers handed back.
-    pub fn returned(&self) -> u64 {
+    pub fn returned_packets(&self) -> u64 {
         let journals = self.journals.iter();
         journals.map(|journal| journal.borrow().returned).sum()
     }
--- a/lab/src/opaque/site/processes.rs
+++ b/lab/src/opaque/site/processes.rs
@@ -105,7 +105,7 @@
                 hosts.push(self.agent_host(index));
             }
         }
-        while self.routers.ready() < running || !self.all_ready(&hosts).await {
+        while self.routers.ready() < running || !self.are_all_ready(&hosts).await {
             if Instant::now() >= until {
                 return Err(Error::new(Code::Io, "the site does not become ready"));
             }
@@ -115,7 +115,7 @@
     }
 
     /// Tells whether the processes on these hosts say that they take traffic.
-    pub async fn all_ready(&self, hosts: &[Ipv4Addr]) -> bool {
+    pub async fn are_all_ready(&self, hosts: &[Ipv4Addr]) -> bool {
         for host in hosts {
             let address = SocketAddr::from((*host, READY_PORT));
             let answer = endivedyke::http_get(address, "/api/readiness", 500).await;
--- a/lab/src/opaque/site/restored_store.rs
+++ b/lab/src/opaque/site/store_recovery.rs
@@ -7,16 +7,16 @@
 
 impl OpaqueSite {
     /// Returns the version of the newest configuration.
-    pub fn version(&self) -> u64 {
+    pub fn config_version(&self) -> u64 {
         self.version
     }
 
     /// Writes again what operators and backend servers wrote, as far as the store no longer has it.
-    pub fn write_again(&self) {
+    pub fn rewrite_lost_values(&self) {
         self.write_config();
         self.write_evacuations();
         for index in 0..self.backends.len() {
-            self.register_again(index);
+            self.rewrite_entry(index);
         }
     }
 
@@ -36,7 +36,7 @@
     }
 
     /// Removes the entries of backend servers that have ended, as once their leases run out.
-    pub fn expire_dead_entries(&self) {
+    pub fn remove_dead_entries(&self) {
         let live = self.backends.iter().flatten();
         let live: Vec<String> = live
             .map(|backend| format!("servers/{}", backend.id))
--- a/lab/src/opaque/soak.rs
+++ b/lab/src/opaque/soak.rs
@@ -15,7 +15,7 @@
 use crate::opaque::soak::faults::{
     EVACUATION_SEED, Fault, Heal, ONE_ATTEMPT_SEED, RESTORE_SEED, faults_of,
 };
-use crate::opaque::store::{StoreCopy, StoreFault};
+use crate::opaque::store::{StoreFault, StoreSnapshot};
 use crate::process::Process;
 
 const BALANCERS: usize = 3;
@@ -64,7 +64,7 @@
     heals: Vec<(u64, Heal)>,
     steps: Vec<String>,
     /// What the store held, and when, in order of time.
-    copies: Vec<(u64, StoreCopy)>,
+    copies: Vec<(u64, StoreSnapshot)>,
 }
 
 /// Runs one seed for some seconds, with log lines in files of a folder if one is named; the error names what was broken and the steps until then.
@@ -78,7 +78,7 @@
         builder = builder.deadline(DEADLINE_MS.0, DEADLINE_MS.1);
     }
     if let Some(folder) = logs {
-        builder = builder.logs_to(folder);
+        builder = builder.log_to_folder(folder);
     }
     let mut soak = Soak {
         site: builder.start().await?,
@@ -89,7 +89,7 @@
         steps: Vec::new(),
         copies: Vec::new(),
     };
-    soak.site.call(&[soak.site.plan(0, 16, 6)])?;
+    soak.site.start_callers(&[soak.site.call_plan(0, 16, 6)])?;
     while soak.started.elapsed() < Duration::from_secs(seconds) {
         soak.strike()?;
         let pause_ms = soak.random.random_range(PAUSE_MS);
@@ -105,7 +105,7 @@
     compio::time::sleep(CALM).await;
     let evacuated = soak.openers_in_an_evacuated_zone(seed).await;
     let behind = soak.processes_behind(seed).await;
-    let tally = soak.site.finish().await;
+    let tally = soak.site.finish_callers().await;
     soak.judge(seed, &before, &tally, [evacuated, behind])
 }
 
@@ -119,7 +119,8 @@
         let balancer = self.random.random_range(0..BALANCERS);
         let index = self.random.random_range(0..BACKENDS);
         let due_ms = self.now_ms() + self.random.random_range(FAULT_MS);
-        self.copies.push((self.now_ms(), self.site.store().copy()));
+        self.copies
+            .push((self.now_ms(), self.site.store().snapshot()));
         self.steps.push(format!(
             "{} ms: {fault:?} {balancer} {index}",
             self.now_ms()
@@ -175,16 +176,16 @@
             // It stays, as nobody of the site knows it.
             Fault::ForeignEntry => self.site.write_foreign_entry(index),
             Fault::Evacuate => {
-                let zone = self.site.zone_of(index);
-                self.site.evacuate(zone);
+                let zone = self.site.backend_zone(index);
+                self.site.evacuate_zone(zone);
                 self.heals.push((due_ms, Heal::TakeBack(zone)));
             }
             Fault::Link(fault) => {
                 self.site.proxy().set_fault(Some(fault));
                 self.heals.push((due_ms, Heal::Link));
             }
-            Fault::ResetLinks => self.site.proxy().reset(),
-            Fault::SilenceLinks => self.site.proxy().silence_open(),
+            Fault::ResetLinks => self.site.proxy().break_connections(),
+            Fault::SilenceLinks => self.site.proxy().silence_open_connections(),
             Fault::DrainBackend => {
                 self.site.drain_backend(index);
                 self.heals
@@ -193,7 +194,7 @@
             Fault::LapseEntry => {
                 // A living server's entry lapses only while the store is away, and is back soon after.
                 self.site.store().set_fault(Some(StoreFault::Busy));
-                self.site.lapse(index);
+                self.site.lapse_entry(index);
                 self.heals.push((due_ms, Heal::Store));
                 self.heals.push((due_ms + LAPSE_MS, Heal::Register(index)));
             }
@@ -204,7 +205,7 @@
             Fault::TurnAway => {
                 let hosts =
                     [index, (index + 1) % BACKENDS].map(|index| self.site.agent_host(index));
-                self.site.store().turn_away(&hosts);
+                self.site.store().reject_hosts(&hosts);
                 self.heals.push((due_ms, Heal::Serve));
             }
             Fault::ForgetHistory => self.site.store().forget_history(),
@@ -284,23 +285,25 @@
             Heal::ThawAgent(index) => self.site.agent(index).map_or(Ok(()), thaw),
             Heal::StartBackend { index, old_id } => {
                 self.site.start_backend(index, 0).await?;
-                self.site.expire_entry(&old_id);
+                self.site.remove_entry(&old_id);
                 Ok(())
             }
-            Heal::StartUnderId { index, id } => self.site.start_backend_as(&id, index, 0).await,
+            Heal::StartUnderId { index, id } => {
+                self.site.start_backend_with_id(&id, index, 0).await
+            }
             Heal::EndDrain(index) => {
                 if let Some(old_id) = self.site.crash_backend(index) {
-                    self.site.expire_entry(&old_id);
+                    self.site.remove_entry(&old_id);
                     self.site.start_backend(index, 0).await?;
                 }
                 Ok(())
             }
             Heal::TakeBack(zone) => {
-                self.site.take_back(zone);
+                self.site.take_zone_back(zone);
                 Ok(())
             }
             Heal::Register(index) => {
-                self.site.register_again(index);
+                self.site.rewrite_entry(index);
                 Ok(())
             }
             Heal::RestoreStore => {
@@ -308,12 +311,12 @@
                 Ok(())
             }
             Heal::WriteAgain => {
-                self.site.write_again();
-                self.site.route_idle_address();
+                self.site.rewrite_lost_values();
+                self.site.add_idle_route();
                 Ok(())
             }
             Heal::ExpireDeadEntries => {
-                self.site.expire_dead_entries();
+                self.site.remove_dead_entries();
                 Ok(())
             }
             // Overlapping faults of one kind go on until the last one's end.
@@ -326,7 +329,7 @@
                 Ok(())
             }
             Heal::Pace(index) => {
-                self.site.restore_pace(index);
+                self.site.resume_normal_work(index);
                 Ok(())
             }
             Heal::Rush if self.heals.iter().any(|(_, other)| *other == Heal::Rush) => Ok(()),
@@ -345,7 +348,7 @@
                 Ok(())
             }
             Heal::Serve => {
-                self.site.store().turn_away(&[]);
+                self.site.store().reject_hosts(&[]);
                 Ok(())
             }
         }
@@ -354,7 +357,7 @@
     /// Lets the store come back from the newest copy that is old enough; what it lost is written again soon.
     fn restore_store(&mut self) {
         let now_ms = self.now_ms();
-        let is_old = |(copied_ms, _): &&(u64, StoreCopy)| now_ms >= copied_ms + COPY_AGE_MS;
+        let is_old = |(copied_ms, _): &&(u64, StoreSnapshot)| now_ms >= copied_ms + COPY_AGE_MS;
         let Some((_, copy)) = self.copies.iter().rev().find(is_old) else {
             return;
         };
@@ -372,7 +375,7 @@
         }
         let balancers = (0..BALANCERS).map(|index| self.site.balancer_host(index));
         let agents = (0..BACKENDS).map(|index| self.site.agent_host(index));
-        let newest = self.site.version() as f64;
+        let newest = self.site.config_version() as f64;
         let mut behind = 0;
         for host in balancers.chain(agents) {
             let version = self.site.metric(host, "config_version").await;
@@ -386,16 +389,16 @@
         if seed < EVACUATION_SEED {
             return 0;
         }
-        let zone = self.site.zone_of(seed as usize % BACKENDS);
-        let in_zone = (0..BACKENDS).filter(|index| self.site.zone_of(*index) == zone);
+        let zone = self.site.backend_zone(seed as usize % BACKENDS);
+        let in_zone = (0..BACKENDS).filter(|index| self.site.backend_zone(*index) == zone);
         let in_zone: Vec<usize> = in_zone.collect();
         let opened = || {
             in_zone
                 .iter()
-                .map(|index| self.site.opened(*index))
+                .map(|index| self.site.openers_received(*index))
                 .sum::<usize>()
         };
-        self.site.evacuate(zone);
+        self.site.evacuate_zone(zone);
         compio::time::sleep(Duration::from_millis(EVACUATION_MS)).await;
         let before = opened();
         compio::time::sleep(Duration::from_millis(WATCHED_MS)).await;
@@ -409,7 +412,7 @@
         tally: &CallTally,
         [evacuated, behind]: [u64; 2],
     ) -> Result<String> {
-        let ran = self.site.ran();
+        let ran = self.site.executed_requests();
         let lost = tally
             .claims
             .iter()
@@ -423,10 +426,10 @@
                 "flows reset that a backend server held",
                 tally.wrongly_reset,
             ),
-            ("claims that ran twice", self.site.doubled() as u64),
+            ("claims that ran twice", self.site.claims_run_twice() as u64),
             (
                 "packets at servers that they were not for",
-                self.site.strayed(),
+                self.site.misdelivered_packets(),
             ),
             ("claims answered that did not run", lost.count() as u64),
             ("openers at servers of an evacuated zone", evacuated),
--- a/lab/src/opaque/store.rs
+++ b/lab/src/opaque/store.rs
@@ -62,7 +62,7 @@
 
 /// What a store held at some time, from which it can come back.
 #[derive(Debug, Clone)]
-pub struct StoreCopy {
+pub struct StoreSnapshot {
     items: Vec<Item>,
     revision: u64,
 }
@@ -133,7 +133,7 @@
     }
 
     /// Turns these hosts away, and serves the others.
-    pub fn turn_away(&self, hosts: &[Ipv4Addr]) {
+    pub fn reject_hosts(&self, hosts: &[Ipv4Addr]) {
         self.store.borrow_mut().turned_away = hosts.to_vec();
     }
 
@@ -145,16 +145,16 @@
     }
 
     /// Copies what the store holds.
-    pub fn copy(&self) -> StoreCopy {
+    pub fn snapshot(&self) -> StoreSnapshot {
         let store = self.store.borrow();
-        StoreCopy {
+        StoreSnapshot {
             items: store.items.clone(),
             revision: store.revision,
         }
     }
 
     /// Lets the store come back from an older copy: what was written since is gone, and revisions are given out again.
-    pub fn restore(&self, copy: &StoreCopy) {
+    pub fn restore(&self, copy: &StoreSnapshot) {
         let mut store = self.store.borrow_mut();
         store.items = copy.items.clone();
         store.revision = copy.revision;
@@ -178,7 +178,7 @@
     }
 
     /// Returns how many calls came in.
-    pub fn calls(&self) -> u64 {
+    pub fn call_count(&self) -> u64 {
         self.store.borrow().calls
     }
 
--- a/lab/src/opener_account.rs
+++ b/lab/src/opener_account.rs
@@ -12,7 +12,7 @@
 
 pub use crate::opener_account::report::{csv_of_openers, table_of_openers};
 
-use crate::opaque::COPIES_MS;
+use crate::opaque::OPENER_COPIES_MS;
 use crate::opener_account::known_loads::KnownLoads;
 use crate::opener_account::services::Services;
 
@@ -228,7 +228,9 @@
 /// that is longer.
 fn took_ms(first: &LogLine<'_>, taken: &LogLine<'_>) -> u64 {
     let later_copy = copy(taken).checked_sub(1);
-    let age_ms = later_copy.map_or(0, |index| COPIES_MS[index.min(COPIES_MS.len() - 1)]);
+    let age_ms = later_copy.map_or(0, |index| {
+        OPENER_COPIES_MS[index.min(OPENER_COPIES_MS.len() - 1)]
+    });
     age_ms.max(taken.time_ms - first.time_ms)
 }
 
--- a/lab/tests/common/opaque.rs
+++ b/lab/tests/common/opaque.rs
@@ -36,13 +36,13 @@
 pub fn assert_promises(site: &OpaqueSite, tally: &CallTally) {
     assert!(tally.answered > 0, "{}", summary(tally));
     assert_eq!(tally.wrong, 0, "{}", summary(tally));
-    assert_eq!(site.doubled(), 0, "claims ran twice");
+    assert_eq!(site.claims_run_twice(), 0, "claims ran twice");
     assert_eq!(
-        site.strayed(),
+        site.misdelivered_packets(),
         0,
         "packets reached servers they were not for"
     );
-    let ran = site.ran();
+    let ran = site.executed_requests();
     let lost = tally
         .claims
         .iter()
@@ -61,12 +61,13 @@
 /// callers of the one before are told.
 pub async fn assert_old_flows_are_reset(restart: impl AsyncFnOnce(&mut OpaqueSite, &str)) {
     let mut site = site(1).await;
-    site.call(&[site.plan(0, 6, 0)]).expect("callers");
+    site.start_callers(&[site.call_plan(0, 6, 0)])
+        .expect("callers");
     sleep_ms(800).await;
     let id = site.crash_backend(0).expect("runs");
     restart(&mut site, &id).await;
     sleep_ms(1_500).await;
-    let tally = site.finish().await;
+    let tally = site.finish_callers().await;
     assert_promises(&site, &tally);
     assert!(tally.reset > 0, "{}", summary(&tally));
     assert_eq!(tally.failed, 0, "{}", summary(&tally));
--- a/lab/tests/opaque_deadlines.rs
+++ b/lab/tests/opaque_deadlines.rs
@@ -25,10 +25,10 @@
         let (objective_ms, timeout_ms) = DEADLINE_MS;
         let builder = OpaqueSiteBuilder::new(2).service("panel-front", 2, 4, 5);
         let builder = builder.deadline(objective_ms, timeout_ms);
-        let site = builder.logs_to(folder.path()).start().await;
+        let site = builder.log_to_folder(folder.path()).start().await;
         let mut site = site.expect("the site starts");
         // What is there at the start comes into force unnamed, together with all other values.
-        site.route_idle_address();
+        site.add_idle_route();
         let balancers = [0, 1].map(|index| site.balancer_host(index));
         let agents = [0, 1].map(|index| site.agent_host(index));
         for host in balancers.into_iter().chain(agents) {
@@ -48,7 +48,8 @@
 fn a_rush_of_callers_is_served_and_ends() {
     run(async {
         let mut site = site_with_deadline().await;
-        site.call(&[site.plan(0, 4, 4)]).expect("callers");
+        site.start_callers(&[site.call_plan(0, 4, 4)])
+            .expect("callers");
         sleep_ms(1_500).await;
         let before = site.tally().requests;
         site.start_rush(4);
@@ -61,7 +62,7 @@
         sleep_ms(1_500).await;
         let calm = site.tally().requests - after;
         assert!(calm < rush / 2, "{calm} requests after a rush of {rush}");
-        let tally = site.finish().await;
+        let tally = site.finish_callers().await;
         assert_promises(&site, &tally);
         let seen = (tally.answered, tally.wrongly_reset);
         assert_eq!(seen, (tally.requests, 0), "{}", summary(&tally));
@@ -72,11 +73,12 @@
 fn a_slow_backend_server_answers_late_and_loses_nothing() {
     run(async {
         let mut site = site_with_deadline().await;
-        site.call(&[site.plan(0, 12, 0)]).expect("callers");
+        site.start_callers(&[site.call_plan(0, 12, 0)])
+            .expect("callers");
         sleep_ms(800).await;
         site.slow_backend(busiest(&site, 3), 40);
         sleep_ms(1_500).await;
-        let tally = site.finish().await;
+        let tally = site.finish_callers().await;
         assert_promises(&site, &tally);
         assert!(tally.slowest_ms >= 200, "{}", summary(&tally));
         let seen = (tally.answered, tally.wrongly_reset);
@@ -88,17 +90,18 @@
 fn what_a_hanging_backend_server_holds_fails_in_time_and_nothing_runs_twice() {
     run(async {
         let mut site = site_with_deadline().await;
-        site.call(&[site.plan(0, 12, 4)]).expect("callers");
+        site.start_callers(&[site.call_plan(0, 12, 4)])
+            .expect("callers");
         sleep_ms(800).await;
         let busiest = busiest(&site, 3);
         site.hang_backend(busiest);
         sleep_ms(3_000).await;
-        site.restore_pace(busiest);
+        site.resume_normal_work(busiest);
         sleep_ms(2_500).await;
         let before = site.tally();
         assert!(before.failed > 0, "{}", summary(&before));
         sleep_ms(1_500).await;
-        let tally = site.finish().await;
+        let tally = site.finish_callers().await;
         assert_promises(&site, &tally);
         assert_eq!(tally.wrongly_reset, 0, "{}", summary(&tally));
         assert_eq!(tally.failed, before.failed, "{}", summary(&tally));
--- a/lab/tests/opaque_entries.rs
+++ b/lab/tests/opaque_entries.rs
@@ -9,7 +9,7 @@
 #[test]
 fn the_old_flows_of_a_backend_server_restarted_under_its_id_are_reset() {
     run(assert_old_flows_are_reset(async |site, id| {
-        site.start_backend_as(id, 0, 0).await.expect("starts");
+        site.start_backend_with_id(id, 0, 0).await.expect("starts");
     }));
 }
 
@@ -17,7 +17,8 @@
 fn entries_of_another_program_stop_no_flow() {
     run(async {
         let mut site = site(3).await;
-        site.call(&[site.plan(0, 10, 4)]).expect("callers");
+        site.start_callers(&[site.call_plan(0, 10, 4)])
+            .expect("callers");
         sleep_ms(500).await;
         site.overwrite_entry(0);
         site.write_foreign_entry(1);
@@ -26,9 +27,9 @@
         let host = site.balancer_host(0);
         let unusable = site.metric(host, "entries_unusable").await;
         assert!(unusable.expect("answers") >= 1.0);
-        site.register_again(0);
+        site.rewrite_entry(0);
         sleep_ms(1_500).await;
-        let tally = site.finish().await;
+        let tally = site.finish_callers().await;
         assert_unnoticed(&site, &tally);
     });
 }
@@ -50,14 +51,15 @@
             site.start_agent(index).expect("starts");
         }
         site.wait_ready().await.expect("ready");
-        site.call(&[site.plan(0, 6, 3)]).expect("callers");
+        site.start_callers(&[site.call_plan(0, 6, 3)])
+            .expect("callers");
         for index in 0..6 {
             site.store().put(&format!("servers/more {index}"), &large);
         }
         site.drain_backend(0);
         sleep_ms(3_000).await;
         assert_eq!(site.open_flows(0), 0, "the change was not read");
-        let tally = site.finish().await;
+        let tally = site.finish_callers().await;
         assert_unnoticed(&site, &tally);
     });
 }
--- a/lab/tests/opaque_evacuation.rs
+++ b/lab/tests/opaque_evacuation.rs
@@ -58,15 +58,16 @@
 fn an_evacuated_zone_gets_no_new_flow_and_keeps_its_open_ones() {
     run(async {
         let mut site = site(PROCESSES).await;
-        let zone = site.zone_of(0);
-        site.call(&[site.plan(0, 9, 6)]).expect("callers");
+        let zone = site.backend_zone(0);
+        site.start_callers(&[site.call_plan(0, 9, 6)])
+            .expect("callers");
         sleep_ms(800).await;
-        site.evacuate(zone);
+        site.evacuate_zone(zone);
         wait_evacuated(&site, 1).await;
         assert_takes_nothing(&site, 0).await;
-        site.take_back(zone);
+        site.take_zone_back(zone);
         wait_taking(&site, 0).await;
-        let tally = site.finish().await;
+        let tally = site.finish_callers().await;
         assert_unnoticed(&site, &tally);
     });
 }
@@ -75,9 +76,10 @@
 fn processes_that_start_while_the_store_is_silent_know_of_an_evacuation() {
     run(async {
         let mut site = site(PROCESSES).await;
-        let zone = site.zone_of(1);
-        site.evacuate(zone);
-        site.call(&[site.plan(0, 4, 6)]).expect("callers");
+        let zone = site.backend_zone(1);
+        site.evacuate_zone(zone);
+        site.start_callers(&[site.call_plan(0, 4, 6)])
+            .expect("callers");
         wait_evacuated(&site, 1).await;
         site.store().set_fault(Some(StoreFault::Silent));
         for index in 0..2 {
@@ -87,7 +89,7 @@
         site.wait_ready().await.expect("ready");
         wait_evacuated(&site, 1).await;
         assert_takes_nothing(&site, 1).await;
-        let tally = site.finish().await;
+        let tally = site.finish_callers().await;
         assert_promises(&site, &tally);
     });
 }
@@ -96,17 +98,18 @@
 fn an_evacuation_that_ended_in_lost_history_is_seen_to_have_ended() {
     run(async {
         let mut site = site(PROCESSES).await;
-        let zone = site.zone_of(2);
-        site.evacuate(zone);
-        site.call(&[site.plan(0, 4, 6)]).expect("callers");
+        let zone = site.backend_zone(2);
+        site.evacuate_zone(zone);
+        site.start_callers(&[site.call_plan(0, 4, 6)])
+            .expect("callers");
         wait_evacuated(&site, 1).await;
         assert_takes_nothing(&site, 2).await;
         site.store().set_fault(Some(StoreFault::Busy));
-        site.take_back(zone);
+        site.take_zone_back(zone);
         site.store().forget_history();
         site.store().set_fault(None);
         wait_taking(&site, 2).await;
-        let tally = site.finish().await;
+        let tally = site.finish_callers().await;
         assert_unnoticed(&site, &tally);
     });
 }
@@ -115,16 +118,17 @@
 fn callers_are_told_at_once_while_every_zone_is_evacuated() {
     run(async {
         let mut site = site(PROCESSES).await;
-        site.call(&[site.plan(0, 4, 4)]).expect("callers");
+        site.start_callers(&[site.call_plan(0, 4, 4)])
+            .expect("callers");
         sleep_ms(500).await;
         for index in 0..3 {
-            site.evacuate(site.zone_of(index));
+            site.evacuate_zone(site.backend_zone(index));
         }
         wait_evacuated(&site, 3).await;
         for index in 0..3 {
             assert_takes_nothing(&site, index).await;
         }
-        let tally = site.finish().await;
+        let tally = site.finish_callers().await;
         assert_promises(&site, &tally);
         assert!(tally.refused > 0, "{}", summary(&tally));
     });
@@ -145,22 +149,22 @@
         let builder = builder.service("panel-front", PROCESSES, SLOTS, 5);
         let builder = builder.cold_rate(COLD_FLOWS_PER_S);
         let mut site = builder.start().await.expect("starts");
-        let zone = site.zone_of(0);
-        site.call(&[site.plan(0, 0, COLD_CALLERS)])
+        let zone = site.backend_zone(0);
+        site.start_callers(&[site.call_plan(0, 0, COLD_CALLERS)])
             .expect("callers");
         // Its entry says for less than this that it is cold.
         sleep_ms(1_000).await;
-        site.evacuate(zone);
+        site.evacuate_zone(zone);
         wait_evacuated(&site, 1).await;
         let host = site.agent_host(0);
         let handed_on = site.metric(host, "openers_handed_on_total").await;
-        let opened = site.opened(0);
+        let opened = site.openers_received(0);
         let started = Instant::now();
-        site.take_back(zone);
+        site.take_zone_back(zone);
         wait_taking(&site, 0).await;
         // Shorter than the cold start, which begins when the agent hears of it.
         sleep_ms(3_000).await;
-        let opened = (site.opened(0) - opened) as f64;
+        let opened = (site.openers_received(0) - opened) as f64;
         let most = COLD_FLOWS_PER_S * started.elapsed().as_secs_f64() + SAVED_UP;
         assert!(opened <= most, "{opened} of at most {most}");
         let passed_on = site.metric(host, "openers_handed_on_total").await;
@@ -168,7 +172,7 @@
             passed_on.expect("answers") > handed_on.expect("answers"),
             "too little was asked for to show anything"
         );
-        let tally = site.finish().await;
+        let tally = site.finish_callers().await;
         assert_unnoticed(&site, &tally);
     });
 }
--- a/lab/tests/opaque_restored_store.rs
+++ b/lab/tests/opaque_restored_store.rs
@@ -42,7 +42,7 @@
 /// Publishes idle changes of the configuration, and waits until they are in force.
 async fn change_idly(site: &mut OpaqueSite, changes: usize) {
     for _ in 0..changes {
-        site.route_idle_address();
+        site.add_idle_route();
         sleep_ms(250).await;
     }
     sleep_ms(1_000).await;
@@ -52,9 +52,9 @@
 async fn wait_still(site: &OpaqueSite, index: usize) {
     let until = Instant::now() + CHANGE_TIMEOUT;
     loop {
-        let before = site.opened(index);
+        let before = site.openers_received(index);
         sleep_ms(STILL_MS).await;
-        if site.opened(index) == before {
+        if site.openers_received(index) == before {
             return;
         }
         assert!(
@@ -79,16 +79,17 @@
 fn a_configuration_confirmed_after_an_older_copy_is_in_force() {
     run(async {
         let mut site = site().await;
-        let copy = site.store().copy();
+        let copy = site.store().snapshot();
         change_idly(&mut site, 8).await;
-        site.call(&[site.plan(INTAKE, 0, 4)]).expect("callers");
+        site.start_callers(&[site.call_plan(INTAKE, 0, 4)])
+            .expect("callers");
         site.store().restore(&copy);
-        site.write_again();
+        site.rewrite_lost_values();
         sleep_ms(1_000).await;
-        assert!(site.opened(INTAKE_SERVER) > 0, "no opener came");
-        site.unroute_last();
+        assert!(site.openers_received(INTAKE_SERVER) > 0, "no opener came");
+        site.remove_last_route();
         wait_still(&site, INTAKE_SERVER).await;
-        let tally = site.finish().await;
+        let tally = site.finish_callers().await;
         assert_promises(&site, &tally);
     });
 }
@@ -97,20 +98,21 @@
 fn changes_below_a_revision_that_the_store_has_passed_again_are_in_force() {
     run(async {
         let mut site = site().await;
-        let copy = site.store().copy();
+        let copy = site.store().snapshot();
         change_idly(&mut site, 2).await;
-        site.call(&[site.plan(INTAKE, 0, 4)]).expect("callers");
+        site.start_callers(&[site.call_plan(INTAKE, 0, 4)])
+            .expect("callers");
         site.store().set_fault(Some(StoreFault::Busy));
         sleep_ms(500).await;
         // A watch from the revision before is not refused: the store has passed it when it answers again.
         site.store().restore(&copy);
-        site.unroute_last();
+        site.remove_last_route();
         for index in 0..3 {
-            site.register_again(index);
+            site.rewrite_entry(index);
         }
         site.store().set_fault(None);
         wait_still(&site, INTAKE_SERVER).await;
-        let tally = site.finish().await;
+        let tally = site.finish_callers().await;
         assert_promises(&site, &tally);
     });
 }
@@ -119,10 +121,11 @@
 fn a_configuration_does_not_go_back_with_the_store() {
     run(async {
         let mut site = site().await;
-        site.call(&[site.plan(INTAKE, 0, 4)]).expect("callers");
-        let copy = site.store().copy();
+        site.start_callers(&[site.call_plan(INTAKE, 0, 4)])
+            .expect("callers");
+        let copy = site.store().snapshot();
         sleep_ms(500).await;
-        site.unroute_last();
+        site.remove_last_route();
         wait_still(&site, INTAKE_SERVER).await;
         site.store().restore(&copy);
         // The operators take their time; processes that start meanwhile learn from the others.
@@ -130,11 +133,15 @@
         site.restart_balancer(1).expect("starts");
         site.wait_ready().await.expect("ready");
         let restarted = [site.agent_host(0), site.balancer_host(1)];
-        wait_version(&site, site.version(), &restarted).await;
-        let before = site.opened(INTAKE_SERVER);
+        wait_version(&site, site.config_version(), &restarted).await;
+        let before = site.openers_received(INTAKE_SERVER);
         sleep_ms(STILL_MS).await;
-        assert_eq!(site.opened(INTAKE_SERVER), before, "the route came back");
-        site.write_again();
+        assert_eq!(
+            site.openers_received(INTAKE_SERVER),
+            before,
+            "the route came back"
+        );
+        site.rewrite_lost_values();
         wait_still(&site, INTAKE_SERVER).await;
     });
 }
@@ -149,21 +156,21 @@
             .collect();
         // One of them is first among those that read, and asks nobody.
         for agent in 0..3 {
-            let older = site.version();
-            let copy = site.store().copy();
+            let older = site.config_version();
+            let copy = site.store().snapshot();
             change_idly(&mut site, 2).await;
-            wait_version(&site, site.version(), &hosts).await;
+            wait_version(&site, site.config_version(), &hosts).await;
             for_all_but_one_agent(&mut site, agent, Process::freeze);
             site.store()
-                .turn_away(&others_than(&hosts, site.agent_host(agent)));
+                .reject_hosts(&others_than(&hosts, site.agent_host(agent)));
             site.store().restore(&copy);
             site.restart_agent(agent).expect("starts");
             wait_version(&site, older, &[site.agent_host(agent)]).await;
             for_all_but_one_agent(&mut site, agent, Process::thaw);
-            wait_version(&site, site.version(), &hosts).await;
-            site.store().turn_away(&[]);
-            site.write_again();
-            wait_version(&site, site.version(), &hosts).await;
+            wait_version(&site, site.config_version(), &hosts).await;
+            site.store().reject_hosts(&[]);
+            site.rewrite_lost_values();
+            wait_version(&site, site.config_version(), &hosts).await;
         }
     });
 }
@@ -195,11 +202,11 @@
         let mut site = site().await;
         site.store().set_fault(Some(StoreFault::Busy));
         sleep_ms(500).await;
-        site.route_idle_address();
-        site.route_idle_address();
+        site.add_idle_route();
+        site.add_idle_route();
         site.store().set_fault(None);
         let hosts: Vec<Ipv4Addr> = (0..3).map(|index| site.agent_host(index)).collect();
-        wait_version(&site, site.version(), &hosts).await;
+        wait_version(&site, site.config_version(), &hosts).await;
     });
 }
 
@@ -208,11 +215,12 @@
     run(async {
         let builder = OpaqueSiteBuilder::new(2).service("panel-front", 3, 4, 5);
         let mut site = builder.start().await.expect("the site starts");
-        let copy = site.store().copy();
+        let copy = site.store().snapshot();
         let joined = site.add_backend(0).await.expect("starts");
         site.start_agent(joined).expect("starts");
         sleep_ms(500).await;
-        site.call(&[site.plan(0, 12, 4)]).expect("callers");
+        site.start_callers(&[site.call_plan(0, 12, 4)])
+            .expect("callers");
         sleep_ms(1_000).await;
         site.store().set_fault(Some(StoreFault::Busy));
         sleep_ms(700).await;
@@ -220,9 +228,9 @@
         site.store().restore(&copy);
         site.store().set_fault(None);
         sleep_ms(1_000).await;
-        site.write_again();
+        site.rewrite_lost_values();
         sleep_ms(2_500).await;
-        let tally = site.finish().await;
+        let tally = site.finish_callers().await;
         assert_unnoticed(&site, &tally);
     });
 }
@@ -232,29 +240,30 @@
     run(async {
         let builder = OpaqueSiteBuilder::new(2).service("panel-front", 3, 4, 5);
         let mut site = builder.start().await.expect("the site starts");
-        let copy = site.store().copy();
-        site.call(&[site.plan(0, 0, 6)]).expect("callers");
-        site.evacuate(site.zone_of(0));
+        let copy = site.store().snapshot();
+        site.start_callers(&[site.call_plan(0, 0, 6)])
+            .expect("callers");
+        site.evacuate_zone(site.backend_zone(0));
         site.drain_backend(1);
         wait_still(&site, 0).await;
         wait_still(&site, 1).await;
         site.store().set_fault(Some(StoreFault::Busy));
         sleep_ms(700).await;
-        let before = [site.opened(0), site.opened(1)];
+        let before = [site.openers_received(0), site.openers_received(1)];
         site.store().restore(&copy);
         site.store().set_fault(None);
         sleep_ms(1_000).await;
-        site.write_again();
+        site.rewrite_lost_values();
         sleep_ms(STILL_MS).await;
-        assert_eq!([site.opened(0), site.opened(1)], before);
+        assert_eq!([site.openers_received(0), site.openers_received(1)], before);
         // Nothing was lost by it: the zone is taken back as ever.
-        site.take_back(site.zone_of(0));
+        site.take_zone_back(site.backend_zone(0));
         let until = Instant::now() + CHANGE_TIMEOUT;
-        while site.opened(0) == before[0] {
+        while site.openers_received(0) == before[0] {
             assert!(Instant::now() < until, "the zone was not taken back");
             sleep_ms(50).await;
         }
-        let tally = site.finish().await;
+        let tally = site.finish_callers().await;
         assert_promises(&site, &tally);
     });
 }
--- a/lab/tests/opaque_site.rs
+++ b/lab/tests/opaque_site.rs
@@ -16,9 +16,10 @@
 fn a_calm_site_answers_everything() {
     run(async {
         let mut site = site(3).await;
-        site.call(&[site.plan(0, 10, 6)]).expect("callers");
+        site.start_callers(&[site.call_plan(0, 10, 6)])
+            .expect("callers");
         sleep_ms(2_000).await;
-        let tally = site.finish().await;
+        let tally = site.finish_callers().await;
         assert_unnoticed(&site, &tally);
     });
 }
@@ -27,7 +28,8 @@
 fn feeds_survive_the_restart_of_every_balancer() {
     run(async {
         let mut site = site(3).await;
-        site.call(&[site.plan(0, 12, 6)]).expect("callers");
+        site.start_callers(&[site.call_plan(0, 12, 6)])
+            .expect("callers");
         for index in 0..3 {
             sleep_ms(500).await;
             let balancer = site.balancer(index).expect("runs");
@@ -36,7 +38,7 @@
             site.start_balancer(index).expect("starts");
             site.wait_ready().await.expect("ready");
         }
-        let tally = site.finish().await;
+        let tally = site.finish_callers().await;
         assert_unnoticed(&site, &tally);
     });
 }
@@ -45,7 +47,8 @@
 fn flows_survive_a_killed_balancer_and_a_killed_agent() {
     run(async {
         let mut site = site(3).await;
-        site.call(&[site.plan(0, 12, 0)]).expect("callers");
+        site.start_callers(&[site.call_plan(0, 12, 0)])
+            .expect("callers");
         sleep_ms(500).await;
         let balancer = site.balancer(0).expect("runs");
         balancer.kill().expect("runs");
@@ -55,7 +58,7 @@
         site.start_agent(0).expect("starts");
         site.wait_ready().await.expect("ready");
         sleep_ms(1_500).await;
-        let tally = site.finish().await;
+        let tally = site.finish_callers().await;
         assert_promises(&site, &tally);
         assert_eq!((tally.failed, tally.reset), (0, 0), "{}", summary(&tally));
     });
@@ -66,9 +69,10 @@
     run(async {
         let mut site = site(3).await;
         site.agent(0).expect("runs").kill().expect("runs");
-        site.call(&[site.plan(0, 0, 8)]).expect("callers");
+        site.start_callers(&[site.call_plan(0, 0, 8)])
+            .expect("callers");
         sleep_ms(2_000).await;
-        let tally = site.finish().await;
+        let tally = site.finish_callers().await;
         assert_unnoticed(&site, &tally);
     });
 }
@@ -77,14 +81,15 @@
 fn callers_of_a_crashed_backend_server_are_told_at_once() {
     run(async {
         let mut site = site(3).await;
-        site.call(&[site.plan(0, 12, 0)]).expect("callers");
+        site.start_callers(&[site.call_plan(0, 12, 0)])
+            .expect("callers");
         sleep_ms(800).await;
         let busiest = busiest(&site, 3);
         let id = site.crash_backend(busiest).expect("runs");
         sleep_ms(1_000).await;
-        site.expire_entry(&id);
+        site.remove_entry(&id);
         sleep_ms(500).await;
-        let tally = site.finish().await;
+        let tally = site.finish_callers().await;
         assert_promises(&site, &tally);
         assert!(tally.reset > 0, "{}", summary(&tally));
         assert_eq!(tally.failed, 0, "{}", summary(&tally));
@@ -95,14 +100,15 @@
 fn callers_are_told_of_a_crash_that_its_connections_do_not_show() {
     run(async {
         let mut site = site(3).await;
-        site.call(&[site.plan(0, 12, 4)]).expect("callers");
+        site.start_callers(&[site.call_plan(0, 12, 4)])
+            .expect("callers");
         sleep_ms(800).await;
         let busiest = busiest(&site, 3);
         let id = site.crash_backend_silently(busiest).expect("runs");
         sleep_ms(2_000).await;
-        site.expire_entry(&id);
+        site.remove_entry(&id);
         sleep_ms(500).await;
-        let tally = site.finish().await;
+        let tally = site.finish_callers().await;
         assert_promises(&site, &tally);
         assert!(tally.reset > 0, "{}", summary(&tally));
         // A claim that ran there when it crashed can't be sent again.
@@ -114,9 +120,10 @@
 fn changes_arrive_though_open_connections_to_the_store_go_silent() {
     run(async {
         let mut site = site(2).await;
-        site.call(&[site.plan(0, 4, 2)]).expect("callers");
+        site.start_callers(&[site.call_plan(0, 4, 2)])
+            .expect("callers");
         sleep_ms(500).await;
-        site.proxy().silence_open();
+        site.proxy().silence_open_connections();
         let added = site.add_backend(0).await.expect("starts");
         site.start_agent(added).expect("starts");
         // A watch that waits, its limit, and a read that takes its place.
@@ -124,7 +131,7 @@
         let host = site.agent_host(added);
         let taken = site.metric(host, "openers_taken_total").await;
         assert!(taken.expect("answers") > 0.0);
-        let tally = site.finish().await;
+        let tally = site.finish_callers().await;
         assert_unnoticed(&site, &tally);
     });
 }
@@ -133,7 +140,7 @@
 fn a_restarted_backend_server_s_old_flows_are_reset() {
     run(assert_old_flows_are_reset(async |site, id| {
         site.start_backend(0, 0).await.expect("starts");
-        site.expire_entry(id);
+        site.remove_entry(id);
     }));
 }
 
@@ -141,12 +148,13 @@
 fn a_draining_backend_server_gets_no_new_flow_and_loses_none() {
     run(async {
         let mut site = site(2).await;
-        site.call(&[site.plan(0, 8, 4)]).expect("callers");
+        site.start_callers(&[site.call_plan(0, 8, 4)])
+            .expect("callers");
         sleep_ms(800).await;
         site.drain_backend(0);
         sleep_ms(1_500).await;
         assert_eq!(site.open_flows(0), 0);
-        let tally = site.finish().await;
+        let tally = site.finish_callers().await;
         assert_unnoticed(&site, &tally);
     });
 }
@@ -158,7 +166,7 @@
             .service("panel-front", 2, 4, 5)
             .service("study-intake", 1, 4, 5);
         let mut site = builder.start().await.expect("the site starts");
-        site.call(&[site.plan(0, 8, 4), site.plan(1, 4, 2)])
+        site.start_callers(&[site.call_plan(0, 8, 4), site.call_plan(1, 4, 2)])
             .expect("callers");
         sleep_ms(800).await;
         let id = site.crash_backend(0).expect("runs");
@@ -166,9 +174,9 @@
         site.start_backend(0, 1).await.expect("starts");
         site.start_agent(0).expect("starts");
         sleep_ms(1_000).await;
-        site.expire_entry(&id);
+        site.remove_entry(&id);
         sleep_ms(1_000).await;
-        let tally = site.finish().await;
+        let tally = site.finish_callers().await;
         assert_promises(&site, &tally);
     });
 }
@@ -189,18 +197,19 @@
             site.store().set_fault(Some(fault));
             sleep_ms(700).await;
         }
-        site.call(&[site.plan(0, 6, 3)]).expect("callers");
+        site.start_callers(&[site.call_plan(0, 6, 3)])
+            .expect("callers");
         sleep_ms(1_000).await;
         site.store().forget_history();
         site.store().set_fault(None);
-        site.unroute_last();
+        site.remove_last_route();
         sleep_ms(3_000).await;
         for index in 0..2 {
             let host = site.balancer_host(index);
             let revision = site.metric(host, "config_revision").await.expect("answers");
             assert!(revision >= 4.0, "balancer {index} stands at {revision}");
         }
-        let tally = site.finish().await;
+        let tally = site.finish_callers().await;
         assert_unnoticed(&site, &tally);
     });
 }
@@ -210,7 +219,7 @@
     run(async {
         let site = site(6).await;
         let turned_away: Vec<_> = (0..4).map(|index| site.agent_host(index)).collect();
-        site.store().turn_away(&turned_away);
+        site.store().reject_hosts(&turned_away);
         sleep_ms(500).await;
         site.drain_backend(5);
         sleep_ms(3_000).await;
@@ -246,14 +255,15 @@
         sleep_ms(800).await;
         let hosts = [site.balancer_host(0), site.balancer_host(1)];
         assert!(
-            !site.all_ready(&hosts).await,
+            !site.are_all_ready(&hosts).await,
             "ready without a configuration"
         );
         site.store().set_fault(None);
         site.wait_ready().await.expect("ready");
-        site.call(&[site.plan(0, 4, 2)]).expect("callers");
+        site.start_callers(&[site.call_plan(0, 4, 2)])
+            .expect("callers");
         sleep_ms(800).await;
-        let tally = site.finish().await;
+        let tally = site.finish_callers().await;
         assert_unnoticed(&site, &tally);
     });
 }
@@ -262,7 +272,8 @@
 fn balancers_that_are_all_killed_while_the_store_is_silent_serve_on_what_agents_know() {
     run(async {
         let mut site = site(3).await;
-        site.call(&[site.plan(0, 12, 6)]).expect("callers");
+        site.start_callers(&[site.call_plan(0, 12, 6)])
+            .expect("callers");
         sleep_ms(500).await;
         site.store().set_fault(Some(StoreFault::Silent));
         for index in 0..3 {
@@ -271,7 +282,7 @@
         }
         site.wait_ready().await.expect("ready without the store");
         sleep_ms(1_000).await;
-        let tally = site.finish().await;
+        let tally = site.finish_callers().await;
         assert_promises(&site, &tally);
         assert_eq!((tally.failed, tally.reset), (0, 0), "{}", summary(&tally));
     });
@@ -281,7 +292,8 @@
 fn feeds_go_on_after_a_restart_of_all_processes_while_the_store_is_silent() {
     run(async {
         let mut site = site(3).await;
-        site.call(&[site.plan(0, 12, 0)]).expect("callers");
+        site.start_callers(&[site.call_plan(0, 12, 0)])
+            .expect("callers");
         sleep_ms(500).await;
         site.store().set_fault(Some(StoreFault::Silent));
         for index in 0..3 {
@@ -299,7 +311,7 @@
         assert!(after > before + 50, "{before} answers, then {after}");
         site.store().set_fault(None);
         site.wait_ready().await.expect("ready");
-        let tally = site.finish().await;
+        let tally = site.finish_callers().await;
         assert_promises(&site, &tally);
         assert_eq!((tally.failed, tally.reset), (0, 0), "{}", summary(&tally));
     });
@@ -314,13 +326,13 @@
         // Only the agent behind the proxy can read the store, so that all others pull over links to it.
         let mut others: Vec<_> = (0..3).map(|index| site.balancer_host(index)).collect();
         others.extend([site.agent_host(1), site.agent_host(2)]);
-        site.store().turn_away(&others);
+        site.store().reject_hosts(&others);
         // Watches that were open end, and processes find out who can read.
         sleep_ms(5_000).await;
         site.drain_backend(2);
         sleep_ms(3_000).await;
-        proxy.silence_open();
-        site.route(0, 0);
+        proxy.silence_open_connections();
+        site.set_route(0, 0);
         // A call on a silent link, and the next question.
         sleep_ms(4_000).await;
         let newest = site.metric(site.agent_host(0), "config_revision").await;
@@ -341,9 +353,9 @@
     run(async {
         let site = site(6).await;
         sleep_ms(2_500).await;
-        let before = site.store().calls();
+        let before = site.store().call_count();
         sleep_ms(3_200).await;
-        let calls = site.store().calls() - before;
+        let calls = site.store().call_count() - before;
         // Two readers with waits of a second and a half each.
         assert!(calls <= 8, "{calls} calls by nine processes");
     });
@@ -355,15 +367,16 @@
         let mut site = site(2).await;
         let host = site.balancer_host(0);
         std::fs::write(site.settings_path(host), "[nonsense").expect("written");
-        site.call(&[site.plan(0, 4, 2)]).expect("callers");
+        site.start_callers(&[site.call_plan(0, 4, 2)])
+            .expect("callers");
         for _ in 0..5 {
             site.balancer(0).expect("runs").hang_up().expect("runs");
             site.agent(0).expect("runs").hang_up().expect("runs");
             sleep_ms(100).await;
         }
-        let tally = site.finish().await;
+        let tally = site.finish_callers().await;
         assert_unnoticed(&site, &tally);
-        assert!(site.all_ready(&[host, site.agent_host(0)]).await);
+        assert!(site.are_all_ready(&[host, site.agent_host(0)]).await);
     });
 }
 
@@ -371,7 +384,8 @@
 fn strangers_bytes_break_nothing() {
     run(async {
         let mut site = site(2).await;
-        site.call(&[site.plan(0, 4, 2)]).expect("callers");
+        site.start_callers(&[site.call_plan(0, 4, 2)])
+            .expect("callers");
         let socket = std::net::UdpSocket::bind("127.0.0.1:0").expect("socket");
         for host in [site.balancer_host(0), site.agent_host(0)] {
             for address in site.datagram_addresses(host) {
@@ -384,7 +398,7 @@
             }
         }
         sleep_ms(1_000).await;
-        let tally = site.finish().await;
+        let tally = site.finish_callers().await;
         assert_unnoticed(&site, &tally);
     });
 }
@@ -394,9 +408,10 @@
     run(async {
         let builder = OpaqueSiteBuilder::new(1)
             .service("panel-front", 1, 4, 1)
-            .unread_logs();
+            .log_to_unread_pipes();
         let mut site = builder.start().await.expect("the site starts");
-        site.call(&[site.plan(0, 0, 7)]).expect("callers");
+        site.start_callers(&[site.call_plan(0, 0, 7)])
+            .expect("callers");
         let agent = site.agent_host(0);
         // A pipe holds 64 KiB; the budget would let the lines through.
         for _ in 0..100 {
@@ -415,7 +430,7 @@
             .await
             .expect("answers");
         assert!(dropped > 0.0);
-        let tally = site.finish().await;
+        let tally = site.finish_callers().await;
         assert_unnoticed(&site, &tally);
     });
 }
@@ -425,12 +440,13 @@
     run(async {
         let mut site = site(1).await;
         // More than slots, and fewer than slots and places in the queue.
-        site.call(&[site.plan(0, 11, 0)]).expect("callers");
+        site.start_callers(&[site.call_plan(0, 11, 0)])
+            .expect("callers");
         sleep_ms(500).await;
         site.slow_backend(0, 40);
         // Longer than callers wait, so that one that others overtake again and again gives up.
         sleep_ms(4_500).await;
-        let tally = site.finish().await;
+        let tally = site.finish_callers().await;
         assert_promises(&site, &tally);
         let seen = (tally.answered, tally.shed);
         assert_eq!(seen, (tally.requests, 0), "{}", summary(&tally));
--- a/lab/tests/operator_client.rs
+++ b/lab/tests/operator_client.rs
@@ -195,7 +195,8 @@
     run(async {
         let builder = OpaqueSiteBuilder::new(2).service("panel-front", 3, 4, 5);
         let mut site = builder.start().await.expect("the site starts");
-        site.call(&[site.plan(0, 12, 0)]).expect("callers");
+        site.start_callers(&[site.call_plan(0, 12, 0)])
+            .expect("callers");
         sleep_ms(1_000).await;
         let agent = site.settings_path(site.agent_host(0)).display().to_string();
         // A process may be late once, and callers open flows anew meanwhile; sooner or later all agree.
@@ -213,7 +214,7 @@
         assert!(agrees, "{row:?}");
         let share = |cell: &str| cell.parse::<f64>().expect("a share");
         assert!(share(&row[4]) >= 1.0 && share(&row[6]) <= 1.0, "{row:?}");
-        site.finish().await;
+        site.finish_callers().await;
     });
 }
 
@@ -222,7 +223,8 @@
     run(async {
         let builder = OpaqueSiteBuilder::new(2).service("panel-front", 3, 4, 5);
         let mut site = builder.start().await.expect("the site starts");
-        site.call(&[site.plan(0, 9, 0)]).expect("callers");
+        site.start_callers(&[site.call_plan(0, 9, 0)])
+            .expect("callers");
         sleep_ms(1_000).await;
         let agent = site.settings_path(site.agent_host(0)).display().to_string();
         // A process that waits for its share of a core may be late once; each answers sooner or later.
@@ -244,7 +246,7 @@
         for part in ["role: agent", "backends:", "panel-front", "flows_open"] {
             assert!(state.contains(part), "{part} in {state}");
         }
-        site.finish().await;
+        site.finish_callers().await;
     });
 }
 
@@ -256,8 +258,8 @@
         let agent = site.settings_path(site.agent_host(0)).display().to_string();
         let calm = text(&client(&["status", "--settings", &agent])).0;
         assert!(!calm.contains("evacuated"), "{calm}");
-        let zone = site.zone_of(0);
-        site.evacuate(zone);
+        let zone = site.backend_zone(0);
+        site.evacuate_zone(zone);
         let known_to_all = [zone, "5", "5"].map(str::to_owned);
         let mut status = String::new();
         for _ in 0..STATUS_TRIES {
