--- a/src/opaque/mod.rs
+++ b/src/opaque/mod.rs
@@ -6,14 +6,14 @@
 //! - `forwarder` decides about packets in a balancer, `keeper` in an agent. Both are plain structs
 //!   that get the time as an argument and do no input or output.
 //! - `openers` decides which openers are taken and where the others go.
-//! - `finding` finds the backend server that holds a flow.
+//! - `flows` finds the backend server that holds a flow.
 //! - `values` holds the published values.
 //! - `packets` defines the messages between processes and the access to packets of flows.
 //! - `processes` runs balancers and agents: sockets and timers.
 //!
 //! `quic` is not used here.
 
-mod finding;
+mod flows;
 mod forwarder;
 mod keeper;
 mod openers;
@@ -25,18 +25,22 @@
     BACKEND_PREFIX, Backend, BackendState, BackendValue, GONE_TEXT, UnusableReason, backend_text,
     cold_backend_text, started_backend_text, unusable_text,
 };
-pub use crate::config::cold_starts::{COLD_STARTS_NAME, ColdStart, cold_start_line, cold_starts};
-pub use crate::config::deadlines::{DEADLINES_NAME, Deadline, deadlines, deadlines_text};
+pub use crate::config::cold_starts::{
+    COLD_STARTS_NAME, ColdStart, cold_start_line, parse_cold_starts,
+};
+pub use crate::config::deadlines::{DEADLINES_NAME, Deadline, deadlines_text, parse_deadlines};
 pub use crate::config::evacuation::{EVACUATED_PREFIX, EVACUATED_TEXT, evacuation_name};
 pub use crate::config::route_diff::{RouteChange, route_changes};
 pub use crate::config::route_table::{ROUTES_HEADER, ROUTES_NAME, Route, RouteShare, RouteTable};
-pub use crate::config::service_names::{SERVICES_NAME, service_names, services_text};
-pub use crate::opaque::finding::flow_search::FlowSearch;
-pub use crate::opaque::finding::lookup::{Lookups, Question, Verdict};
-pub use crate::opaque::forwarder::{Forwarder, steady_load, told_wait};
+pub use crate::config::service_names::{SERVICES_NAME, parse_services, services_text};
+pub use crate::opaque::flows::flow_search::FlowSearch;
+pub use crate::opaque::flows::lookup::{LookupOutcome, LookupPacket, Lookups};
+pub use crate::opaque::forwarder::{Forwarder, decode_steady_load, decode_wait_ms};
 pub use crate::opaque::keeper::{Keeper, KeeperIdentity, Scene};
 pub use crate::opaque::packets::action::Action;
-pub use crate::opaque::packets::message::{Message, MessageKind, UNKNOWN_AGE_MS, UNKNOWN_LOAD};
+pub use crate::opaque::packets::message::{
+    Message, MessageKind, UNKNOWN_AGE_MS, UNKNOWN_LOAD_PERMILLE,
+};
 pub use crate::opaque::packets::segment::{FlowKey, Segment, WireFormat};
 pub use crate::opaque::values::backend_change::BackendChange;
 pub use crate::opaque::values::batch_diff::{DroppedValue, dropped_values, new_values};
--- a/src/opaque/processes/agent.rs
+++ b/src/opaque/processes/agent.rs
@@ -12,10 +12,10 @@
 
 use crate::code::Code;
 use crate::config::service_id::ServiceId;
-use crate::controllers::control::Control;
+use crate::controllers::control_plane::ControlPlane;
 use crate::decisions::stall::LOOK_MS;
 use crate::error::{Error, Result};
-use crate::opaque::finding::lookup::asks_all;
+use crate::opaque::flows::lookup::queries_all_agents;
 use crate::opaque::keeper::{Keeper, KeeperIdentity, Scene};
 use crate::opaque::packets::action::Action;
 use crate::opaque::packets::message::{Message, MessageKind};
@@ -50,7 +50,7 @@
 
 /// Runs an agent until `stop` completes.
 pub(crate) async fn run(
-    control: Rc<Control>,
+    control: Rc<ControlPlane>,
     adapter: PlatformAdapter,
     stop: impl Future<Output = ()>,
 ) -> Result<()> {
@@ -91,14 +91,14 @@
     Ok(())
 }
 
-fn identity(control: &Control) -> Result<KeeperIdentity> {
+fn identity(control: &ControlPlane) -> Result<KeeperIdentity> {
     let settings = &control.settings.opaque;
     let missing = |key: &str| Error::new(Code::SettingsMissing, format!("[opaque] {key}"));
     let service = settings.service.as_deref();
     Ok(KeeperIdentity {
         host: control.settings.host,
         backend: settings.backend.ok_or_else(|| missing("backend"))?,
-        service: ServiceId::of(service.ok_or_else(|| missing("service"))?),
+        service: ServiceId::from_name(service.ok_or_else(|| missing("service"))?),
         flow_lifetime_ms: settings.flow_lifetime_ms(),
     })
 }
@@ -155,7 +155,7 @@
     fn announce_unlisted(&self) {
         let directory = self.node.directory.borrow();
         let hosts = directory.current_hosts();
-        if !asks_all(&directory) || !self.keeper.borrow().is_unlisted(&directory) {
+        if !queries_all_agents(&directory) || !self.keeper.borrow().is_unlisted(&directory) {
             return;
         }
         let own_host = self.node.control.settings.host;
--- a/src/opaque/processes/node.rs
+++ b/src/opaque/processes/node.rs
@@ -7,12 +7,12 @@
 use compio::BufResult;
 use compio::net::UdpSocket;
 
-use crate::controllers::control::Control;
+use crate::controllers::control_plane::ControlPlane;
 use crate::error::{Error, Result};
 use crate::opaque::PlatformAdapter;
-use crate::opaque::finding::flow_search::FlowSearch;
+use crate::opaque::flows::flow_search::FlowSearch;
 use crate::opaque::packets::action::Action;
-use crate::opaque::packets::message::{Message, MessageKind, UNKNOWN_LOAD};
+use crate::opaque::packets::message::{Message, MessageKind, UNKNOWN_LOAD_PERMILLE};
 use crate::opaque::packets::segment::WireFormat;
 use crate::opaque::values::directory::Directory;
 use crate::opaque::values::freshness::BEAT_MS;
@@ -30,7 +30,7 @@
 
 /// The parts that balancer and agent processes have in common.
 pub(crate) struct Node {
-    pub(crate) control: Rc<Control>,
+    pub(crate) control: Rc<ControlPlane>,
     pub(crate) wire: WireFormat,
     pub(crate) directory: RefCell<Directory>,
     pub(crate) value_sync: Rc<ValueSync>,
@@ -46,7 +46,7 @@
 
 impl Node {
     /// Makes the node and binds the socket for messages between processes.
-    pub(crate) fn new(control: &Rc<Control>, adapter: PlatformAdapter) -> Result<Rc<Self>> {
+    pub(crate) fn new(control: &Rc<ControlPlane>, adapter: PlatformAdapter) -> Result<Rc<Self>> {
         let address = SocketAddr::from((control.settings.host, control.settings.datagram_port));
         let (receiver, sender) = udp::bind_pair(address)?;
         let node = Rc::new(Self {
@@ -58,9 +58,9 @@
             sender,
             subscribers: RefCell::default(),
             search: RefCell::default(),
-            load_permille: Cell::new(UNKNOWN_LOAD),
+            load_permille: Cell::new(UNKNOWN_LOAD_PERMILLE),
         });
-        control.tells_peers.set(false);
+        control.pushes_changes.set(false);
         let observer = node.clone();
         control.on_change(move |names| observer.apply_changed_values(names));
         Ok(node)
@@ -185,7 +185,7 @@
             return Vec::new();
         }
         let now_ms = self.control.now_ms();
-        self.search.borrow().list(now_ms)
+        self.search.borrow().agent_list(now_ms)
     }
 
     fn add_subscriber(&self, host: Ipv4Addr) {
@@ -218,8 +218,8 @@
         // A process that starts now does not know which entries lapsed just before; the remaining
         // grace period lets it wait for their return.
         let lapse_grace_left_ms = self.directory.borrow().lapse_grace_left_ms();
-        message.unsettled_ms = message.unsettled_ms.max(lapse_grace_left_ms as u16);
-        if message.load_permille == UNKNOWN_LOAD {
+        message.settle_remaining_ms = message.settle_remaining_ms.max(lapse_grace_left_ms as u16);
+        if message.load_permille == UNKNOWN_LOAD_PERMILLE {
             message.load_permille = self.load_permille.get();
         }
         message.append(&mut payload);
--- a/src/opaque/processes/readiness.rs
+++ b/src/opaque/processes/readiness.rs
@@ -8,7 +8,7 @@
 use http::{Response, StatusCode};
 use http_body_util::Full;
 
-use crate::controllers::control::Control;
+use crate::controllers::control_plane::ControlPlane;
 use crate::error::Result;
 use crate::process::http_server;
 
@@ -17,7 +17,7 @@
 
 /// Starts the endpoint at the configured address, if there is one; it answers 503 until the flag is
 /// set.
-pub(crate) async fn serve(control: &Control) -> Result<ReadyFlag> {
+pub(crate) async fn serve(control: &ControlPlane) -> Result<ReadyFlag> {
     let ready = ReadyFlag::default();
     let Some(address) = control.settings.opaque.ready else {
         return Ok(ready);
@@ -39,7 +39,7 @@
 }
 
 /// Marks the process as ready and logs it.
-pub(crate) fn set_ready(control: &Control, ready: &ReadyFlag) {
+pub(crate) fn set_ready(control: &ControlPlane, ready: &ReadyFlag) {
     ready.set(true);
     let revision = control.store.borrow().digest().highest;
     log::info!("event=ready revision={revision}");
--- a/src/opaque/values/backend_tables.rs
+++ b/src/opaque/values/backend_tables.rs
@@ -4,7 +4,7 @@
 
 use crate::config::hash;
 use crate::config::service_id::ServiceId;
-use crate::config::table::{Row, Table};
+use crate::config::table::{Table, TableRow};
 use crate::opaque::values::published_entry::PublishedEntry;
 
 /// The table of each service, and the availability zone and cold start of each host.
@@ -84,10 +84,10 @@
     tables
 }
 
-fn row(entry: &PublishedEntry, takes_flows: bool) -> Row {
+fn row(entry: &PublishedEntry, takes_flows: bool) -> TableRow {
     let weight = if takes_flows { entry.backend.slots } else { 0 };
     let host = *entry.backend.address.ip();
-    Row {
+    TableRow {
         // Hash the host instead of the id: a process without a configuration does not know the id.
         target_hash: hash::host_hash(host),
         target: entry.id.clone(),
--- a/src/opaque/values/batch_diff.rs
+++ b/src/opaque/values/batch_diff.rs
@@ -5,8 +5,8 @@
 
 use crate::config::config_store::ConfigStore;
 use crate::config::evacuation::EVACUATED_PREFIX;
+use crate::config::incoming_value::IncomingValue;
 use crate::config::revision::Revision;
-use crate::config::value_state::ValueState;
 use crate::opaque::values::source::Batch;
 use crate::opaque::{BACKEND_PREFIX, GONE_TEXT};
 
@@ -21,8 +21,8 @@
 /// - every newer revision of a whole read, which follows lost history,
 /// - the first state in an era of the platform, since processes that start later hold the value at
 ///   this revision.
-pub fn new_values<'a>(store: &ConfigStore, batch: &'a Batch) -> Vec<ValueState<'a>> {
-    let mut new: Vec<ValueState<'_>> = Vec::new();
+pub fn new_values<'a>(store: &ConfigStore, batch: &'a Batch) -> Vec<IncomingValue<'a>> {
+    let mut new: Vec<IncomingValue<'_>> = Vec::new();
     // The texts of the values that the batch changed so far.
     let mut changed: BTreeMap<&str, &str> = BTreeMap::new();
     for value in &batch.values {
@@ -34,8 +34,8 @@
         let held_text = || held.map(|held| held.text.as_str());
         let known = changed.get(name).copied().or_else(held_text);
         let is_new = batch.is_whole || known != Some(text);
-        if is_new && store.wants(name, stamp) {
-            new.push(ValueState { name, stamp, text });
+        if is_new && store.is_new_state(name, stamp) {
+            new.push(IncomingValue { name, stamp, text });
             changed.insert(name, text);
         }
     }
@@ -61,7 +61,7 @@
     let older = batch.values.iter().filter_map(|value| {
         let held = store.get(&value.name)?;
         let text = value.text.as_deref().unwrap_or(GONE_TEXT);
-        let is_older = !value.stamp.is_after(held.stamp()) && held.text != text;
+        let is_older = !value.stamp.supersedes(held.stamp()) && held.text != text;
         is_older.then_some(DroppedValue {
             name: &value.name,
             revision: value.stamp.revision,
@@ -86,7 +86,7 @@
         .collect();
     batch_names.sort_unstable();
     let values = store.values().iter();
-    let is_settled = store.is_settled(batch.revision.era());
+    let is_settled = store.is_era_settled(batch.revision.era());
     values
         .filter(|value| is_removable(&value.name, is_settled))
         .filter(|value| value.text != GONE_TEXT && value.revision <= batch.revision)
--- a/src/opaque/values/directory.rs
+++ b/src/opaque/values/directory.rs
@@ -240,7 +240,7 @@
         self.operator_values
             .routes
             .get(flow.called)?
-            .service(flow.hash())
+            .select_service(flow.hash())
     }
 
     /// Returns the table of the service that a new flow is routed to.
@@ -353,7 +353,7 @@
                 BackendState::Draining => HostState::Leaving,
             },
         });
-        HostList::of(hosts.collect())
+        HostList::from_hosts(hosts.collect())
     }
 
     fn rebuild(&mut self) {
--- a/src/opaque/values/source.rs
+++ b/src/opaque/values/source.rs
@@ -4,7 +4,7 @@
 
 use crate::code::Code;
 use crate::config::revision::Revision;
-use crate::config::stamp::Stamp;
+use crate::config::version_stamp::VersionStamp;
 use crate::error::{Error, Result};
 
 /// One state of a published value.
@@ -13,7 +13,7 @@
     /// The name of the value.
     pub name: String,
     /// The revision and version of this state.
-    pub stamp: Stamp,
+    pub stamp: VersionStamp,
     /// The text in the product's format; `None` if the value is no longer published.
     pub text: Option<String>,
 }
--- a/src/opaque/values/value_sync.rs
+++ b/src/opaque/values/value_sync.rs
@@ -8,12 +8,12 @@
 use crate::code::Code;
 use crate::config::backend_entry::GONE_TEXT;
 use crate::config::hash;
+use crate::config::incoming_value::IncomingValue;
 use crate::config::revision::Revision;
-use crate::config::value_state::ValueState;
-use crate::controllers::control::Control;
+use crate::controllers::control_plane::ControlPlane;
 use crate::controllers::relay;
 use crate::error::Result;
-use crate::opaque::packets::message::{Message, UNKNOWN_AGE_MS, UNSETTLED_UNIT_MS};
+use crate::opaque::packets::message::{Message, SETTLE_UNIT_MS, UNKNOWN_AGE_MS};
 use crate::opaque::values::batch_diff::{dropped_values, new_values, removed_names};
 use crate::opaque::values::freshness::{
     self, Freshness, ProcessLocation, RelayPosition, WATCH_WAIT_MS,
@@ -43,7 +43,7 @@
 
 /// Reads the platform when this process has to, and pulls newer values from peers.
 pub(crate) struct ValueSync {
-    control: Rc<Control>,
+    control: Rc<ControlPlane>,
     source: PlatformSource,
     freshness: RefCell<Freshness>,
     /// The revision up to which the platform has been read; zero if everything must be read.
@@ -57,7 +57,7 @@
 }
 
 impl ValueSync {
-    pub(crate) fn new(control: &Rc<Control>, source: PlatformSource) -> Rc<Self> {
+    pub(crate) fn new(control: &Rc<ControlPlane>, source: PlatformSource) -> Rc<Self> {
         let settings = &control.settings;
         let is_seed = settings.seeds.contains(&settings.host);
         let startup_backoff = StartupBackoff::new(is_seed, control.now_ms());
@@ -150,14 +150,14 @@
     }
 
     /// Returns the remaining time for which this process is unsettled, in milliseconds.
-    fn unsettled_ms(&self) -> u64 {
+    fn settle_remaining_ms(&self) -> u64 {
         let settle_state = self.settle_state.borrow();
         let is_starting_without_platform =
             !self.has_routes() && settle_state.has_first_read_failed();
         if is_starting_without_platform {
             return LAPSE_GRACE_MS;
         }
-        settle_state.unsettled_ms(self.lapse_clock_ms())
+        settle_state.settle_remaining_ms(self.lapse_clock_ms())
     }
 
     /// Returns whether a configuration is in force.
@@ -275,7 +275,7 @@
             Some(RestorationEvent::Settled) => {
                 log::info!("event=platform_settled revision={highest}");
                 let era = self.restoration.borrow().era();
-                self.control.store.borrow_mut().settle(era);
+                self.control.store.borrow_mut().mark_era_settled(era);
                 // Values that were rejected while the era was unsettled are read again.
                 self.seen_revision.set(Revision::ZERO);
             }
@@ -310,7 +310,7 @@
             let store = self.control.store.borrow();
             new_values(&store, batch)
         };
-        let removals = removed.iter().map(|name| ValueState {
+        let removals = removed.iter().map(|name| IncomingValue {
             name,
             stamp: batch.revision.into(),
             text: GONE_TEXT,
@@ -348,7 +348,7 @@
     /// Sets the fields of a message that describe the state of its sender's values.
     pub(crate) fn fill_in_state(&self, message: &mut Message) {
         let now_ms = self.control.now_ms();
-        message.unsettled_ms = self.unsettled_ms() as u16;
+        message.settle_remaining_ms = self.settle_remaining_ms() as u16;
         message.digest = self.control.store.borrow().digest();
         let age_ms = self.freshness.borrow().reported_age_ms(now_ms);
         message.age_ms = age_ms.map_or(UNKNOWN_AGE_MS, |age_ms| age_ms as u32);
@@ -409,12 +409,13 @@
     /// Changes spread with the traffic that they affect this way.
     pub(crate) fn handle_peer_state(self: &Rc<Self>, from: Ipv4Addr, message: &Message) {
         // Subtract what rounding up added, so that two processes can't keep each other unsettled.
-        let unsettled_ms = u64::from(message.unsettled_ms.saturating_sub(UNSETTLED_UNIT_MS));
-        if unsettled_ms > 0 {
+        let settle_remaining_ms =
+            u64::from(message.settle_remaining_ms.saturating_sub(SETTLE_UNIT_MS));
+        if settle_remaining_ms > 0 {
             let now_ms = self.control.now_ms();
             let clock_ms = self.lapse_clock_ms();
             let mut settle_state = self.settle_state.borrow_mut();
-            settle_state.unsettle_with_peer(unsettled_ms, clock_ms, now_ms);
+            settle_state.unsettle_with_peer(settle_remaining_ms, clock_ms, now_ms);
         }
         let digest = message.digest;
         if digest.highest > self.control.store.borrow().digest().highest {
--- a/tests/opaque/directory.rs
+++ b/tests/opaque/directory.rs
@@ -60,7 +60,7 @@
     let own = directory
         .local_backend(backend_address(1))
         .expect("published");
-    assert_eq!(own.service, ServiceId::of("scene-intake"));
+    assert_eq!(own.service, ServiceId::from_name("scene-intake"));
     // A late write of the old id does not take the address back.
     publish(
         &mut directory,
@@ -72,7 +72,7 @@
     let own = directory
         .local_backend(backend_address(1))
         .expect("published");
-    assert_eq!(own.service, ServiceId::of("scene-intake"));
+    assert_eq!(own.service, ServiceId::from_name("scene-intake"));
 }
 
 #[test]
--- a/tests/opaque/restored_platform.rs
+++ b/tests/opaque/restored_platform.rs
@@ -5,7 +5,7 @@
     BackendState, Batch, PublishedValue, RESTORE_SETTLE_MS, ROUTES_HEADER, ROUTES_NAME,
     RestorationEvent, RestorationTracker, new_values,
 };
-use endivedyke::{Acceptance, ClusterKey, ConfigStore, Revision, Stamp};
+use endivedyke::{AcceptOutcome, ClusterKey, ConfigStore, Revision, VersionStamp};
 use proptest::prelude::*;
 
 use crate::builder::{started_text, state_text};
@@ -19,8 +19,8 @@
     Revision::new(era, number).expect("small")
 }
 
-fn stamp(era: u64, number: u64, version: u64) -> Stamp {
-    Stamp {
+fn stamp(era: u64, number: u64, version: u64) -> VersionStamp {
+    VersionStamp {
         revision: revision(era, number),
         version,
     }
@@ -65,8 +65,8 @@
         (stamp(1, 4, 0), stamp(0, 18, 24), true),
         (stamp(0, 18, 24), stamp(1, 4, 0), false),
     ];
-    for (offered, held, is_after) in cases {
-        assert_eq!(offered.is_after(held), is_after, "{offered:?} {held:?}");
+    for (offered, held, supersedes) in cases {
+        assert_eq!(offered.supersedes(held), supersedes, "{offered:?} {held:?}");
     }
 }
 
@@ -78,11 +78,14 @@
     store.accept(ENTRY, 7, &draining).expect("sound");
     let copied = revision(1, 5);
     store.accept("other", revision(1, 4), "").expect("sound");
-    assert_eq!(store.accept(ENTRY, copied, &ready), Ok(Acceptance::Old));
-    store.settle(1);
     assert_eq!(
         store.accept(ENTRY, copied, &ready),
-        Ok(Acceptance::Accepted),
+        Ok(AcceptOutcome::Stale)
+    );
+    store.mark_era_settled(1);
+    assert_eq!(
+        store.accept(ENTRY, copied, &ready),
+        Ok(AcceptOutcome::Accepted),
         "an entry that is still there after settling was rewritten"
     );
 }
@@ -95,7 +98,7 @@
     let ready = state_text(1, BackendState::Ready);
     assert_eq!(
         store.accept(ENTRY, revision(1, 5), &ready),
-        Ok(Acceptance::Old)
+        Ok(AcceptOutcome::Stale)
     );
 }
 
@@ -103,8 +106,8 @@
 fn after_a_restore_a_drained_server_stays_gone_and_a_lapsed_one_comes_back() {
     let ready = state_text(1, BackendState::Ready);
     for (last, accepted) in [
-        (BackendState::Draining, Acceptance::Old),
-        (BackendState::Ready, Acceptance::Accepted),
+        (BackendState::Draining, AcceptOutcome::Stale),
+        (BackendState::Ready, AcceptOutcome::Accepted),
     ] {
         let mut store = store();
         store.accept(ENTRY, 7, &state_text(1, last)).expect("sound");
@@ -124,12 +127,12 @@
     let earlier = started_text(1, 100);
     assert_eq!(
         store.accept(ENTRY, revision(1, 5), &earlier),
-        Ok(Acceptance::Old)
+        Ok(AcceptOutcome::Stale)
     );
     let later = started_text(1, 300);
     assert_eq!(
         store.accept(ENTRY, revision(1, 6), &later),
-        Ok(Acceptance::Accepted)
+        Ok(AcceptOutcome::Accepted)
     );
 }
 
@@ -247,7 +250,7 @@
     let wanted = stores[from]
         .changes_since(Revision::ZERO)
         .iter()
-        .any(|(name, stamp)| stores[to].wants(name, *stamp));
+        .any(|(name, stamp)| stores[to].is_new_state(name, *stamp));
     let have = stores[to].revision(ROUTES_NAME);
     if let Some(update) = stores[from]
         .update_for(ROUTES_NAME, have)
--- a/tests/opaque/unusable_entries.rs
+++ b/tests/opaque/unusable_entries.rs
@@ -61,7 +61,7 @@
 #[test]
 fn an_entry_of_an_unknown_service_takes_no_address_and_adds_no_host() {
     let mut directory = directory(2);
-    directory.set_services(vec![ServiceId::of(SERVICE)]);
+    directory.set_services(vec![ServiceId::from_name(SERVICE)]);
     for (id, text) in [
         ("i-at-an-address-in-use", state_text(1, BackendState::Ready)),
         ("i-at-a-host-of-its-own", state_text(9, BackendState::Ready)),
@@ -74,7 +74,7 @@
     let own = directory
         .local_backend(backend_address(1))
         .expect("published");
-    assert_eq!(own.service, ServiceId::of(SERVICE));
+    assert_eq!(own.service, ServiceId::from_name(SERVICE));
     assert_eq!(directory.host_list().all().len(), 2);
 }
 
@@ -83,7 +83,7 @@
     let mut directory = directory(2);
     directory.set_services(Vec::new());
     assert!(takers(&directory).is_empty());
-    directory.set_services(vec![ServiceId::of(SERVICE)]);
+    directory.set_services(vec![ServiceId::from_name(SERVICE)]);
     assert_eq!(takers(&directory), [host(1), host(2)]);
 }
 
