--- a/src/opaque/mod.rs
+++ b/src/opaque/mod.rs
@@ -6,7 +6,7 @@
 //! - `forwarder` decides about packets in a balancer, `keeper` in an agent. Both are plain structs
 //!   that get the time as an argument and do no input or output.
 //! - `openers` decides which openers are taken and where the others go.
-//! - `flows` finds the backend server that holds a flow.
+//! - `flows` holds an agent's flows and finds the backend server that holds a flow.
 //! - `values` holds the published values.
 //! - `packets` defines the messages between processes and the access to packets of flows.
 //! - `processes` runs balancers and agents: sockets and timers.
--- a/src/opaque/processes/balancer.rs
+++ b/src/opaque/processes/balancer.rs
@@ -179,7 +179,7 @@
             forwarder.record_wait(&self.node.directory.borrow(), from, wait_ms, now_ms);
         }
         match message.kind {
-            MessageKind::Declined => self.handle_declined(&flow, from, now_ms),
+            MessageKind::Declined => self.handle_decline(&flow, from, now_ms),
             MessageKind::Holds => {
                 let mut forwarder = self.forwarder.borrow_mut();
                 if message.has_opened {
@@ -203,7 +203,7 @@
         }
     }
 
-    fn handle_declined(&self, flow: &FlowKey, from: Ipv4Addr, now_ms: u64) {
+    fn handle_decline(&self, flow: &FlowKey, from: Ipv4Addr, now_ms: u64) {
         let action = {
             let directory = self.node.directory.borrow();
             let suspicion = self.node.control.suspicion.borrow();
--- a/src/opaque/values/published_entries.rs
+++ b/src/opaque/values/published_entries.rs
@@ -43,7 +43,7 @@
                 let entry = PublishedEntry::new(change.id, backend, change.revision, now_ms);
                 self.entries.insert(index, entry);
             }
-            // Its host is unknown and can't be asked; its agent announces the backend server.
+            // Its host is unknown and can't be queried; its agent announces the backend server.
             (Err(_), BackendValue::Unusable(_) | BackendValue::Gone) => {}
         }
     }
--- a/src/opaque/values/published_entry.rs
+++ b/src/opaque/values/published_entry.rs
@@ -12,7 +12,7 @@
 /// The platform guarantees that entries which lapsed during an outage of its service are back
 /// within about two seconds after it.
 pub(crate) const LAPSE_GRACE_MS: u64 = 2_500;
-/// The time for which the host of a backend server that is gone is still asked for flows, in
+/// The time for which the host of a backend server that is gone is still queried for flows, in
 /// milliseconds: the longest lifetime of a flow on the users' platform.
 pub(crate) const GONE_RETENTION_MS: u64 = 60_000;
 
--- a/src/opaque/values/settle_state.rs
+++ b/src/opaque/values/settle_state.rs
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Returns the remaining time for which this process is unsettled, in milliseconds.
+    /// Returns the time until this process is settled, in milliseconds.
     pub(crate) fn settle_remaining_ms(&self, clock_ms: u64) -> u64 {
         self.unsettled_until_ms
             .saturating_sub(clock_ms)
--- a/src/opaque/values/value_sync.rs
+++ b/src/opaque/values/value_sync.rs
@@ -77,7 +77,7 @@
     /// Returns once a configuration is in force, from the platform or from a peer.
     ///
     /// Reads the platform and asks the seeds concurrently, with retries: when a whole site starts,
-    /// most peers do not run yet and the platform may be unreachable. `ask_seed` sends a question
+    /// most peers do not run yet and the platform may be unreachable. `ask_seed` sends a request
     /// to a seed.
     pub(crate) async fn wait_for_configuration(self: &Rc<Self>, ask_seed: impl Fn(Ipv4Addr)) {
         let value_sync = self.clone();
@@ -149,7 +149,7 @@
         settle_state.unsettle(for_ms, clock_ms, now_ms);
     }
 
-    /// Returns the remaining time for which this process is unsettled, in milliseconds.
+    /// Returns the time until this process is settled, in milliseconds.
     fn settle_remaining_ms(&self) -> u64 {
         let settle_state = self.settle_state.borrow();
         let is_starting_without_platform =
@@ -306,7 +306,7 @@
     fn apply_batch(&self, batch: &Batch) {
         self.report_dropped(batch);
         let removed = removed_names(&self.control.store.borrow(), batch);
-        let mut states = {
+        let mut incoming = {
             let store = self.control.store.borrow();
             new_values(&store, batch)
         };
@@ -315,8 +315,8 @@
             stamp: batch.revision.into(),
             text: GONE_TEXT,
         });
-        states.extend(removals);
-        self.control.accept_all(&states);
+        incoming.extend(removals);
+        self.control.accept_all(&incoming);
         if batch.revision > self.seen_revision.get() {
             self.seen_revision.set(batch.revision);
         }
