--- a/src/opaque/values/value_sync.rs
+++ b/src/opaque/values/value_sync.rs
@@ -77,7 +77,7 @@
     /// Returns once a configuration is in force, from the platform or from a peer.
     ///
     /// Reads the platform and asks the seeds concurrently, with retries: when a whole site starts,
-    /// most peers do not run yet and the platform may be unreachable. `ask_seed` sends a question
+    /// most peers do not run yet and the platform may be unreachable. `ask_seed` sends a request
     /// to a seed.
     pub(crate) async fn wait_for_configuration(self: &Rc<Self>, ask_seed: impl Fn(Ipv4Addr)) {
         let value_sync = self.clone();
@@ -149,15 +149,15 @@
         settle_state.unsettle(for_ms, clock_ms, now_ms);
     }
 
-    /// Returns the remaining time for which this process is unsettled, in milliseconds.
-    fn unsettled_ms(&self) -> u64 {
+    /// Returns the time until this process is settled, in milliseconds.
+    fn settle_remaining_ms(&self) -> u64 {
         let settle_state = self.settle_state.borrow();
         let is_starting_without_platform =
             !self.has_routes() && settle_state.has_first_read_failed();
         if is_starting_without_platform {
             return LAPSE_GRACE_MS;
         }
-        settle_state.unsettled_ms(self.lapse_clock_ms())
+        settle_state.settle_remaining_ms(self.lapse_clock_ms())
     }
 
     /// Returns whether a configuration is in force.
@@ -308,7 +308,7 @@
     fn apply_batch(&self, batch: &Batch) {
         self.report_dropped(batch);
         let removed = removed_names(&self.control.store.borrow(), batch);
-        let mut states = {
+        let mut incoming = {
             let store = self.control.store.borrow();
             new_values(&store, batch)
         };
@@ -317,8 +317,8 @@
             stamp: batch.revision.into(),
             text: GONE_TEXT,
         });
-        states.extend(removals);
-        self.control.accept_all(&states);
+        incoming.extend(removals);
+        self.control.accept_all(&incoming);
         if batch.revision > self.seen_revision.get() {
             self.seen_revision.set(batch.revision);
         }
@@ -350,7 +350,7 @@
     /// Sets the fields of a message that describe the state of its sender's values.
     pub(crate) fn fill_in_state(&self, message: &mut Message) {
         let now_ms = self.control.now_ms();
-        message.settle_remaining_ms = self.unsettled_ms() as u16;
+        message.settle_remaining_ms = self.settle_remaining_ms() as u16;
         message.digest = self.control.store.borrow().digest();
         let age_ms = self.freshness.borrow().reported_age_ms(now_ms);
         message.age_ms = age_ms.map_or(UNKNOWN_AGE_MS, |age_ms| age_ms as u32);
@@ -411,12 +411,13 @@
     /// Changes spread with the traffic that they affect this way.
     pub(crate) fn handle_peer_state(self: &Rc<Self>, from: Ipv4Addr, message: &Message) {
         // Subtract what rounding up added, so that two processes can't keep each other unsettled.
-        let unsettled_ms = u64::from(message.settle_remaining_ms.saturating_sub(SETTLE_UNIT_MS));
-        if unsettled_ms > 0 {
+        let settle_remaining_ms =
+            u64::from(message.settle_remaining_ms.saturating_sub(SETTLE_UNIT_MS));
+        if settle_remaining_ms > 0 {
             let now_ms = self.control.now_ms();
             let clock_ms = self.lapse_clock_ms();
             let mut settle_state = self.settle_state.borrow_mut();
-            settle_state.unsettle_with_peer(unsettled_ms, clock_ms, now_ms);
+            settle_state.unsettle_with_peer(settle_remaining_ms, clock_ms, now_ms);
         }
         let digest = message.digest;
         if digest.highest > self.control.store.borrow().digest().highest {
