--- a/benches/hot_paths.rs
+++ b/benches/hot_paths.rs
@@ -1,4 +1,4 @@
-//! The hot paths beside their naive versions, at several sizes; `cargo bench` prints the times.
+//! Benchmarks of the hot paths and of naive alternatives, at several sizes.
 #![allow(missing_docs)]
 
 use std::collections::HashMap;
@@ -46,8 +46,9 @@
     token.seal(ring, SealedIdKind::Token, [1, 2, 3])
 }
 
-/// A balancer's datagram: read the id, open the token, append the envelope.
-fn datagram(criterion: &mut Criterion) {
+/// Measures how a balancer forwards a datagram: parse the connection ID, open the token, append the
+/// envelope.
+fn bench_datagram(criterion: &mut Criterion) {
     let cluster = ClusterKey::new([7; 32]);
     let mut store = ConfigStore::new(&cluster);
     store
@@ -63,13 +64,16 @@
         balancer: host(9),
         revision: 1.into(),
     };
-    let mut short = vec![0x40];
-    short.extend_from_slice(&token(store.key_ring()));
-    short.resize(PACKET_BYTES, 0);
-    let mut opener = vec![0xc0, 0, 0, 0, 1, 8, 1, 2, 3, 4, 5, 6, 7, 8];
-    opener.resize(PACKET_BYTES, 0);
+    let mut short_packet = vec![0x40];
+    short_packet.extend_from_slice(&token(store.key_ring()));
+    short_packet.resize(PACKET_BYTES, 0);
+    let mut opener_packet = vec![0xc0, 0, 0, 0, 1, 8, 1, 2, 3, 4, 5, 6, 7, 8];
+    opener_packet.resize(PACKET_BYTES, 0);
     let mut group = criterion.benchmark_group("datagram");
-    for (name, packet) in [("with token", &short), ("opener, 12 targets", &opener)] {
+    for (name, packet) in [
+        ("with token", &short_packet),
+        ("opener, 12 targets", &opener_packet),
+    ] {
         let mut buffer = Vec::with_capacity(2_100);
         group.bench_function(name, |bencher| {
             bencher.iter(|| {
@@ -85,15 +89,15 @@
     group.bench_function("naive: copy alone", |bencher| {
         bencher.iter(|| {
             buffer.clear();
-            buffer.extend_from_slice(&short);
+            buffer.extend_from_slice(&short_packet);
             black_box(buffer.len())
         });
     });
     group.finish();
 }
 
-/// The entry hosts of a list, which an agent once gathered for each answer.
-fn entry_hosts(criterion: &mut Criterion) {
+/// Measures a cached list of entry hosts and, as the naive version, collecting it for each answer.
+fn bench_entry_hosts(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("entry hosts");
     for hosts in [60usize, 600, 5_800] {
         let mut text = format!("{HOSTS_HEADER}\n");
@@ -102,23 +106,23 @@
             text += &format!("{},zone-a,{role},live\n", host(index + 1));
         }
         let list = HostList::parse(&text).expect("sound");
-        let gather = || -> Rc<[Ipv4Addr]> {
+        let collect_hosts = || -> Rc<[Ipv4Addr]> {
             list.with_role(HostRole::Entry)
                 .map(|host| host.address)
                 .collect()
         };
-        let kept = gather();
+        let cached = collect_hosts();
         group.bench_function(BenchmarkId::new("naive: gathered", hosts), |bencher| {
-            bencher.iter(gather);
+            bencher.iter(collect_hosts);
         });
         group.bench_function(BenchmarkId::new("kept", hosts), |bencher| {
-            bencher.iter(|| black_box(&kept).clone());
+            bencher.iter(|| black_box(&cached).clone());
         });
     }
     group.finish();
 }
 
-fn tokens(criterion: &mut Criterion) {
+fn bench_tokens(criterion: &mut Criterion) {
     let ring = KeyRing::initial(&ClusterKey::new([7; 32]));
     let bytes = token(&ring);
     let service = ServiceId::from_name("front");
@@ -130,7 +134,7 @@
     group.finish();
 }
 
-fn owners(criterion: &mut Criterion) {
+fn bench_placement(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("owner");
     for targets in [3, 12, 100, 1_000] {
         let table = table(targets);
@@ -159,7 +163,7 @@
     group.finish();
 }
 
-fn admissions(criterion: &mut Criterion) {
+fn bench_admission(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("admission");
     for targets in [3, 12, 100, 1_000] {
         let table = table(targets);
@@ -197,7 +201,7 @@
     group.finish();
 }
 
-fn ledgers(criterion: &mut Criterion) {
+fn bench_ledger(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("ledger");
     for keys in [10_000u32, 100_000, 300_000, 1_000_000] {
         let mut ledger = Ledger::new(keys as usize);
@@ -218,8 +222,9 @@
     group.finish();
 }
 
-/// The whole configuration in services of twelve rows, as a starting process takes it.
-fn configurations(criterion: &mut Criterion) {
+/// Measures parsing and accepting a whole configuration, as a starting process does, with up to
+/// twelve rows per service, and changes of one row.
+fn bench_configuration(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("configuration");
     group.sample_size(10);
     for rows in [10usize, 100, 1_000, 10_000, 66_000] {
@@ -274,6 +279,7 @@
         .sample_size(20)
         .warm_up_time(Duration::from_millis(300))
         .measurement_time(Duration::from_millis(800));
-    targets = datagram, entry_hosts, tokens, owners, admissions, ledgers, configurations
+    targets = bench_datagram, bench_entry_hosts, bench_tokens, bench_placement, bench_admission,
+        bench_ledger, bench_configuration
 }
 criterion_main!(benches);
--- a/src/quic/agent.rs
+++ b/src/quic/agent.rs
@@ -78,8 +78,8 @@
         SealedId::open(store.key_ring(), SealedIdKind::Ticket, service, ticket)
     }
 
-    /// Issues a ticket that binds one request to this incarnation. Returns `None` if the ledger has
-    /// no tickets left.
+    /// Issues a ticket that binds one request to this incarnation. Returns `None` once this
+    /// incarnation has issued all ticket numbers.
     pub(crate) fn issue_ticket(&self, target: &Target) -> Option<SealedBytes> {
         let ticket = SealedId {
             host: target.host,
--- a/src/quic/agent_datagrams.rs
+++ b/src/quic/agent_datagrams.rs
@@ -152,6 +152,7 @@
         }
     }
 
+    /// Decides on an opener, which is refused if the service has no table.
     fn decide(&self, target: &Target, opener: &Opener) -> Decision {
         let store = self.control.store.borrow();
         let Some(table) = store.table(target.service) else {
@@ -183,22 +184,22 @@
         packet: &[u8],
     ) -> Result<()> {
         let key = (envelope.caller, envelope.service);
-        let flow = match self.flow_socket(&key) {
-            Some(flow) => flow,
+        let flow_socket = match self.flow_socket(&key) {
+            Some(flow_socket) => flow_socket,
             None => {
                 self.open_flow_socket(key, target, envelope.balancer)
                     .await?
             }
         };
-        flow.record_packet(envelope.balancer, self.control.now_ms());
-        flow.deliver(packet.to_vec()).await;
+        flow_socket.record_packet(envelope.balancer, self.control.now_ms());
+        flow_socket.deliver(packet.to_vec()).await;
         Ok(())
     }
 
     fn flow_socket(&self, key: &FlowKey) -> Option<Rc<FlowSocket>> {
-        let flows = self.flow_sockets.borrow();
-        let index = flows.binary_search_by_key(key, |flow| flow.key);
-        index.ok().map(|index| flows[index].clone())
+        let flow_sockets = self.flow_sockets.borrow();
+        let index = flow_sockets.binary_search_by_key(key, |flow_socket| flow_socket.key);
+        index.ok().map(|index| flow_sockets[index].clone())
     }
 
     async fn open_flow_socket(
@@ -210,18 +211,18 @@
         if self.flow_sockets.borrow().len() >= self.max_flow_sockets() {
             return Err(Error::new(Code::NoTarget, "too many flow sockets are open"));
         }
-        let flow = FlowSocket::open(key, target.endpoint_address, balancer).await?;
-        let mut flows = self.flow_sockets.borrow_mut();
-        let index = flows.partition_point(|known| known.key < key);
-        flows.insert(index, flow.clone());
-        drop(flows);
+        let flow_socket = FlowSocket::open(key, target.endpoint_address, balancer).await?;
+        let mut flow_sockets = self.flow_sockets.borrow_mut();
+        let index = flow_sockets.partition_point(|known| known.key < key);
+        flow_sockets.insert(index, flow_socket.clone());
+        drop(flow_sockets);
         let agent = self.clone();
-        let weak = Rc::downgrade(&flow);
-        let socket = flow.socket.clone();
-        flow.set_answer_task(compio::runtime::spawn(async move {
+        let weak = Rc::downgrade(&flow_socket);
+        let socket = flow_socket.socket.clone();
+        flow_socket.set_answer_task(compio::runtime::spawn(async move {
             agent.forward_answers(&socket, weak).await;
         }));
-        Ok(flow)
+        Ok(flow_socket)
     }
 
     fn max_flow_sockets(&self) -> usize {
@@ -233,7 +234,8 @@
         allowed + SPARE_FLOW_SOCKETS
     }
 
-    async fn forward_answers(&self, socket: &UdpSocket, flow: std::rc::Weak<FlowSocket>) {
+    /// Forwards the endpoint's packets to the caller until the flow socket is dropped.
+    async fn forward_answers(&self, socket: &UdpSocket, flow_socket: std::rc::Weak<FlowSocket>) {
         let mut buffer = Vec::with_capacity(BUFFER_BYTES);
         loop {
             buffer.clear();
@@ -242,21 +244,22 @@
             if result.is_err() {
                 continue;
             }
-            let Some(flow) = flow.upgrade() else {
+            let Some(flow_socket) = flow_socket.upgrade() else {
                 return;
             };
-            flow.last_packet_ms.set(self.control.now_ms());
-            buffer = self.forward_answer(buffer, &flow).await;
+            flow_socket.last_packet_ms.set(self.control.now_ms());
+            buffer = self.forward_answer(buffer, &flow_socket).await;
         }
     }
 
-    async fn forward_answer(&self, buffer: Vec<u8>, flow: &FlowSocket) -> Vec<u8> {
-        let balancer = self.choose_balancer(flow.last_balancer.get());
+    async fn forward_answer(&self, buffer: Vec<u8>, flow_socket: &FlowSocket) -> Vec<u8> {
+        let balancer = self.choose_balancer(flow_socket.last_balancer.get());
         let revision = self.control.store.borrow().digest().highest;
-        let envelope = flow.envelope(balancer, revision);
+        let envelope = flow_socket.envelope(balancer, revision);
         self.send(buffer, &envelope, balancer).await
     }
 
+    /// Chooses the balancer for an answer to a flow whose packets last came through `last`.
     fn choose_balancer(&self, last: Ipv4Addr) -> Ipv4Addr {
         let listed = self.control.entry_hosts();
         let now_ms = self.control.now_ms();
--- a/src/quic/agent_lifecycle.rs
+++ b/src/quic/agent_lifecycle.rs
@@ -47,7 +47,7 @@
         timers.every(EXPIRE_PERIOD_MS, move || {
             agent.for_each_target(|target| {
                 target.slots.refuse_expired();
-                target.expire_reservations();
+                target.remove_expired_reservations();
             });
         });
         let agent = self.clone();
@@ -86,11 +86,11 @@
 
     fn apply_keys(&self) {
         let key_ring = self.control.store.borrow().key_ring().clone();
-        let mut shared = self
+        let mut shared_ring = self
             .key_ring
             .write()
             .unwrap_or_else(|poisoned| poisoned.into_inner());
-        *shared = key_ring;
+        *shared_ring = key_ring;
     }
 
     /// Updates targets, limits and drains to the tables and the host list in force.
@@ -106,7 +106,7 @@
         let is_leaving = self.is_host_leaving();
         let targets = self.targets.borrow().clone();
         for target in &targets {
-            let changed = {
+            let has_changed = {
                 let store = self.control.store.borrow();
                 let table = store.table(target.service);
                 target.apply_row(
@@ -114,7 +114,7 @@
                     is_leaving,
                 )
             };
-            if changed {
+            if has_changed {
                 // Every peer gets the new state at once, instead of by the next random exchange.
                 load_exchange::exchange_with_all_peers(self, target);
             }
@@ -124,8 +124,8 @@
     fn local_rows(&self) -> Vec<(Table, TableRow)> {
         let store = self.control.store.borrow();
         let host = self.control.settings.host;
-        let local = |table: &Table| Some((table.clone(), table.row_on(host)?.clone()));
-        store.tables().filter_map(local).collect()
+        let with_local_row = |table: &Table| Some((table.clone(), table.row_on(host)?.clone()));
+        store.tables().filter_map(with_local_row).collect()
     }
 
     fn is_host_leaving(&self) -> bool {
--- a/src/quic/at_most_once.rs
+++ b/src/quic/at_most_once.rs
@@ -35,6 +35,7 @@
     }
 }
 
+/// Forwards a request to the incarnation that issued its ticket.
 async fn run_at_issuer(
     context: &RequestContext<'_>,
     id: &SealedId,
@@ -60,6 +61,7 @@
     }
 }
 
+/// Runs a request whose ticket this incarnation issued, unless the ledger has it already.
 async fn run_locally(context: &RequestContext<'_>, counter: u32, body: CallerBody) -> Answer {
     let begin = context
         .target
@@ -86,6 +88,7 @@
     Answer::refusal(code, retry_after_ms).with_ticket(ticket)
 }
 
+/// Runs a request that the ledger has just recorded as begun, at a peer or locally.
 async fn run_new(context: &RequestContext<'_>, counter: u32, body: CallerBody) -> Answer {
     let entry = LedgerEntry::new(context.target, counter);
     let whole = body.whole().cloned();
--- a/src/quic/backend.rs
+++ b/src/quic/backend.rs
@@ -44,8 +44,9 @@
 /// Returns the headers that are forwarded, in either direction.
 pub(crate) fn forwarded_headers(headers: &HeaderMap) -> HeaderMap {
     let is_forwarded = |name: &HeaderName| !DROPPED_HEADERS.contains(&name.as_str());
-    let kept = headers.iter().filter(|(name, _)| is_forwarded(name));
-    kept.map(|(name, value)| (name.clone(), value.clone()))
+    let forwarded = headers.iter().filter(|(name, _)| is_forwarded(name));
+    forwarded
+        .map(|(name, value)| (name.clone(), value.clone()))
         .collect()
 }
 
@@ -87,6 +88,6 @@
 
 /// Returns whether the backend server shed the request without running it: 503 with Retry-After.
 pub(crate) fn is_shed(response: &Response<Incoming>) -> bool {
-    let unavailable = response.status() == StatusCode::SERVICE_UNAVAILABLE;
-    unavailable && response.headers().contains_key(RETRY_AFTER)
+    let is_unavailable = response.status() == StatusCode::SERVICE_UNAVAILABLE;
+    is_unavailable && response.headers().contains_key(RETRY_AFTER)
 }
--- a/src/quic/envelope.rs
+++ b/src/quic/envelope.rs
@@ -23,6 +23,7 @@
 
 const VERSION: u8 = 1;
 const TAG_BYTES: usize = 8;
+/// The number of bytes at the start of a packet that the tag authenticates.
 const AUTHENTICATED_PACKET_BYTES: usize = 64;
 
 /// The direction and purpose of an envelope.
--- a/src/quic/health.rs
+++ b/src/quic/health.rs
@@ -5,7 +5,7 @@
 
 /// The weight of the newest outcome in the failure rate.
 const NEWEST_WEIGHT: f64 = 0.1;
-/// The failure rate from which on a target's share is zero.
+/// The failure rate at and above which a target's share is zero.
 const FAILING_RATE: f64 = 0.5;
 /// The failure rate up to which a target keeps its full share.
 const TOLERATED_RATE: f64 = 0.1;
--- a/src/quic/load_exchange.rs
+++ b/src/quic/load_exchange.rs
@@ -26,13 +26,14 @@
     };
     if let Some(target) = target {
         let agent = agent.clone();
-        compio::runtime::spawn(async move { exchange_with_random(&agent, &target).await }).detach();
+        compio::runtime::spawn(async move { exchange_with_random_peer(&agent, &target).await })
+            .detach();
     }
 }
 
 /// Exchanges load once with every peer of a target, so that a new target does not decide without
-/// reports for its first seconds, and peers do not deflect openers to a target that they do not know
-/// to be draining.
+/// reports for its first seconds, and peers do not deflect openers to a target that they do not
+/// know to be draining.
 pub(crate) fn exchange_with_all_peers(agent: &Rc<Agent>, target: &Rc<Target>) {
     for peer in unsuspected_peers(agent, target) {
         let agent = agent.clone();
@@ -41,7 +42,7 @@
     }
 }
 
-async fn exchange_with_random(agent: &Agent, target: &Target) {
+async fn exchange_with_random_peer(agent: &Agent, target: &Target) {
     if let Some(peer) = unsuspected_peers(agent, target)
         .into_iter()
         .choose(&mut rand::rng())
@@ -51,14 +52,14 @@
 }
 
 async fn exchange(agent: &Agent, target: &Target, peer: Ipv4Addr) {
-    let own_reports = collect_reports(agent, target);
-    let peer_reports = agent
+    let known_reports = collect_reports(agent, target);
+    let received_reports = agent
         .control
         .peers
-        .exchange_load(peer, target.service, &own_reports)
+        .exchange_load(peer, target.service, &known_reports)
         .await;
-    match peer_reports {
-        Ok(peer_reports) => merge(agent, target, &peer_reports),
+    match received_reports {
+        Ok(received_reports) => merge(agent, target, &received_reports),
         Err(_) => {
             let now_ms = agent.control.now_ms();
             agent.control.suspicion.borrow_mut().suspect(peer, now_ms);
@@ -81,6 +82,7 @@
         .collect()
 }
 
+/// Returns the fresh reports of the peers and a new report of this target.
 fn collect_reports(agent: &Agent, target: &Target) -> Vec<LoadReport> {
     let mut reports = target
         .peer_loads
@@ -90,6 +92,7 @@
     reports
 }
 
+/// Merges reports, except those of this target and of hosts without a row.
 fn merge(agent: &Agent, target: &Target, reports: &[LoadReport]) {
     let now_ms = agent.control.now_ms();
     let store = agent.control.store.borrow();
@@ -104,16 +107,16 @@
     }
 }
 
-/// Answers an exchange: merges the peer's reports and returns those of this agent.
+/// Answers an exchange: merges the peer's reports and returns those known here.
 pub(crate) fn answer(
     agent: &Agent,
     service: ServiceId,
-    peer_reports: &[LoadReport],
+    received_reports: &[LoadReport],
 ) -> Vec<LoadReport> {
     let Some(target) = agent.target(service) else {
         return Vec::new();
     };
-    let own_reports = collect_reports(agent, &target);
-    merge(agent, &target, peer_reports);
-    own_reports
+    let known_reports = collect_reports(agent, &target);
+    merge(agent, &target, received_reports);
+    known_reports
 }
--- a/src/quic/moved_request.rs
+++ b/src/quic/moved_request.rs
@@ -15,7 +15,7 @@
 use crate::quic::local_request::WholeAnswer;
 use crate::quic::request_context::RequestContext;
 
-/// The number of peers to which a request is offered at most.
+/// The largest number of peers to which a request is offered.
 const MAX_OFFERS: usize = 2;
 /// The busy fraction that is assumed for a peer without a fresh report, so that it is asked after
 /// all peers with one.
@@ -36,7 +36,7 @@
     if body.len() > MAX_MOVED_BODY_BYTES {
         return PeerRunOutcome::NotRun;
     }
-    for host in peers_to_ask(context) {
+    for host in peers_to_offer(context) {
         match offer_and_run(context, host, body).await {
             PeerRunOutcome::NotRun => {}
             outcome => return outcome,
@@ -49,7 +49,7 @@
 ///
 /// While this target has free slots and is healthy, this is one random peer with fewer busy slots
 /// than its weight calls for; otherwise the least busy peers.
-fn peers_to_ask(context: &RequestContext<'_>) -> Vec<Ipv4Addr> {
+fn peers_to_offer(context: &RequestContext<'_>) -> Vec<Ipv4Addr> {
     let health = context.target.health.borrow();
     if context.target.slots.has_free() && !health.is_failing() {
         let store = context.agent.control.store.borrow();
@@ -57,12 +57,12 @@
         let peer = table.and_then(|table| context.target.pick_peer(table));
         return peer.into_iter().collect();
     }
-    least_busy(context)
+    least_busy_peers(context)
 }
 
 /// Returns the peers that reported a free slot, the least busy first, and then those without a
 /// fresh report.
-fn least_busy(context: &RequestContext<'_>) -> Vec<Ipv4Addr> {
+fn least_busy_peers(context: &RequestContext<'_>) -> Vec<Ipv4Addr> {
     let now_ms = context.agent.control.now_ms();
     let store = context.agent.control.store.borrow();
     let suspicion = context.agent.control.suspicion.borrow();
@@ -135,7 +135,7 @@
     }
 }
 
-/// Converts the answer of a peer.
+/// Converts a peer's answer to the answer for the caller.
 pub(crate) fn peer_answer(answer: PeerAnswer) -> Answer {
     if answer.code != Code::Answered {
         return Answer::refusal(answer.code, answer.retry_after_ms);
@@ -147,7 +147,7 @@
     })
 }
 
-/// Converts an answer that was read whole.
+/// Converts an answer that was read whole to the answer for the caller.
 pub(crate) fn whole_answer(answer: WholeAnswer) -> Answer {
     let mut headers: HeaderMap = answer.headers;
     headers.remove(http::header::CONTENT_LENGTH);
--- a/src/quic/peer_handlers.rs
+++ b/src/quic/peer_handlers.rs
@@ -32,8 +32,8 @@
     let (load_agent, offer_agent) = (agent.clone(), agent.clone());
     let (run_agent, cancel_agent, state_agent) = (agent.clone(), agent.clone(), agent.clone());
     NodeHooks {
-        exchange_load: Box::new(move |service, peer_reports| {
-            load_exchange::answer(&load_agent, service, peer_reports)
+        exchange_load: Box::new(move |service, received_reports| {
+            load_exchange::answer(&load_agent, service, received_reports)
         }),
         offer: Box::new(move |service, timeout_ms| offer(&offer_agent, service, timeout_ms)),
         run: Box::new(move |ticket, request| {
@@ -102,6 +102,8 @@
     into_peer_answer(answer)
 }
 
+/// Runs a request that the ledger has just recorded as begun, in its reserved slot if that is still
+/// held.
 async fn run_new(
     agent: &Agent,
     target: &Rc<Target>,
--- a/src/quic/stateless_reset.rs
+++ b/src/quic/stateless_reset.rs
@@ -4,6 +4,7 @@
 use ring::hmac;
 
 const RESET_TOKEN_BYTES: usize = 16;
+/// A shorter packet would not be recognized as a stateless reset (RFC 9000 section 10.3).
 const MIN_RESET_BYTES: usize = 21;
 const MAX_RESET_BYTES: usize = 42;
 
--- a/src/quic/target.rs
+++ b/src/quic/target.rs
@@ -168,7 +168,7 @@
     }
 
     /// Frees the slots of accepted offers whose request did not arrive in time.
-    pub(crate) fn expire_reservations(&self) {
+    pub(crate) fn remove_expired_reservations(&self) {
         let now_ms = self.clock.now_ms();
         let mut reservations = self.reservations.borrow_mut();
         let all = std::mem::take(&mut *reservations);
--- a/tests/allocations.rs
+++ b/tests/allocations.rs
@@ -1,4 +1,4 @@
-//! A balancer's datagram path allocates nothing once its buffer is warm.
+//! The datagram path of a balancer makes no allocations once its buffer is allocated.
 
 mod common;
 
@@ -21,11 +21,11 @@
         service,
         nonce: 1,
     };
-    let mut short = vec![0x40];
-    short.extend_from_slice(&token.seal(store.key_ring(), SealedIdKind::Token, [0; 3]));
-    short.resize(1_200, 0);
-    let mut opener = vec![0xc0, 0, 0, 0, 1, 8, 1, 2, 3, 4, 5, 6, 7, 8];
-    opener.resize(1_200, 0);
+    let mut short_packet = vec![0x40];
+    short_packet.extend_from_slice(&token.seal(store.key_ring(), SealedIdKind::Token, [0; 3]));
+    short_packet.resize(1_200, 0);
+    let mut opener_packet = vec![0xc0, 0, 0, 0, 1, 8, 1, 2, 3, 4, 5, 6, 7, 8];
+    opener_packet.resize(1_200, 0);
     let envelope = Envelope {
         kind: EnvelopeKind::Inbound,
         service,
@@ -35,7 +35,7 @@
     };
     let suspicion = Suspicion::default();
     let mut buffer = Vec::with_capacity(2_048);
-    for packet in [&short, &opener] {
+    for packet in [&short_packet, &opener_packet] {
         let allocations = allocation_counter::measure(|| {
             for _ in 0..100 {
                 buffer.clear();
