--- a/src/quic/health.rs
+++ b/src/quic/health.rs
@@ -18,7 +18,7 @@
 /// A server that fails fast also frees its slots fast, so that by load alone it would attract the
 /// requests of all others. Its share therefore falls as its failure rate rises. The rate falls only
 /// when requests succeed; while the share is zero, one request is let through as a probe each
-/// [`PROBE_INTERVAL_MS`].
+/// `PROBE_INTERVAL_MS`.
 #[derive(Debug, Default)]
 pub struct Health {
     failure_rate: f64,
--- a/src/quic/steering.rs
+++ b/src/quic/steering.rs
@@ -28,8 +28,9 @@
 ///
 /// # Errors
 ///
-/// Returns code 4001 or 4002 for a packet without a connection ID or token that can be routed, 4004
-/// for an opener of an unknown service and 4006 if no target can be chosen.
+/// Returns code 4001 for a packet without a complete connection ID, 4002 for one that neither has a
+/// valid token nor may open a flow, 4004 for an opener of an unknown service and 4006 if no target
+/// can be chosen.
 pub fn steer(
     store: &ConfigStore,
     suspicion: &Suspicion,
