--- a/lab/src/caller.rs
+++ b/lab/src/caller.rs
@@ -93,7 +93,7 @@
             if flow.quic.close_reason().is_none() {
                 return Ok(());
             }
-            self.leave_flow();
+            self.drop_flow();
         }
         let connecting = self.endpoint.connect(self.service, "localhost", None);
         let connecting = connecting.map_err(failed)?;
@@ -115,7 +115,7 @@
     }
 
     /// Gives the flow up, so that the next request opens another, and counts it if it was broken.
-    pub fn leave_flow(&mut self) {
+    pub fn drop_flow(&mut self) {
         let Some(flow) = self.flow.take() else {
             return;
         };
@@ -143,7 +143,7 @@
         self.connect().await?;
         let result = self.exchange(method, path, ticket, body).await;
         if result.is_err() {
-            self.leave_flow();
+            self.drop_flow();
         }
         result
     }
@@ -183,7 +183,7 @@
     /// # Errors
     ///
     /// Returns code 5001 where the feed breaks off.
-    pub async fn feed(&mut self, path: &str, mut seen: impl FnMut(&[u8])) -> Result<()> {
+    pub async fn read_feed(&mut self, path: &str, mut seen: impl FnMut(&[u8])) -> Result<()> {
         self.connect().await?;
         let request = Request::get(format!("https://localhost{path}"))
             .header("accept", "text/event-stream")
--- a/lab/src/caller_process.rs
+++ b/lab/src/caller_process.rs
@@ -6,10 +6,10 @@
 
 use endivedyke::{Code, Error, Result};
 
-use crate::ledger_check;
+use crate::caller_stats::CallerStats;
+use crate::claim_check;
 use crate::process::Process;
 use crate::site::Site;
-use crate::tally::Tally;
 
 const END_TIMEOUT: Duration = Duration::from_secs(90);
 
@@ -72,13 +72,13 @@
     /// # Errors
     ///
     /// Returns code 5001 where they do not end or a backend server does not answer.
-    pub async fn finish(mut self, site: &Site) -> Result<Tally> {
+    pub async fn finish(mut self, site: &Site) -> Result<CallerStats> {
         self.process.wait(END_TIMEOUT).await?;
         let text = fs::read_to_string(&self.report)?;
-        let tally: std::result::Result<Tally, _> = serde_json::from_str(&text);
+        let tally: std::result::Result<CallerStats, _> = serde_json::from_str(&text);
         let mut tally = tally.map_err(|error| Error::new(Code::Io, error.to_string()))?;
-        let mut journal = site.journal(self.service).await?;
-        ledger_check::check_claims(&mut tally, &mut journal);
+        let mut journal = site.executed_claims(self.service).await?;
+        claim_check::count_claim_errors(&mut tally, &mut journal);
         Ok(tally)
     }
 }
--- a/lab/src/tally.rs
+++ b/lab/src/caller_stats.rs
@@ -4,7 +4,7 @@
 
 /// The counts of a run, which add up over processes.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Tally {
+pub struct CallerStats {
     /// Requests that callers wanted answered, feeds among them.
     pub requests: u64,
     /// Requests that got the whole answer of their own.
@@ -31,9 +31,9 @@
     pub latencies_us: Vec<u64>,
 }
 
-impl Tally {
+impl CallerStats {
     /// Adds another count to this one.
-    pub fn add(&mut self, other: &Tally) {
+    pub fn add(&mut self, other: &CallerStats) {
         self.requests += other.requests;
         self.answered += other.answered;
         self.refused += other.refused;
--- a/lab/src/callers.rs
+++ b/lab/src/callers.rs
@@ -11,7 +11,7 @@
 use rand::Rng;
 
 use crate::caller::{Caller, Reply};
-use crate::tally::Tally;
+use crate::caller_stats::CallerStats;
 
 /// How often a caller comes back with one request.
 const MAX_TRIES: u32 = 40;
@@ -32,10 +32,10 @@
     pub(crate) feed_period_ms: u64,
 }
 
-type SharedTally = Rc<RefCell<Tally>>;
+type SharedTally = Rc<RefCell<CallerStats>>;
 
 /// Runs all callers to their end and returns what they saw.
-pub(crate) async fn run(plan: &CallersPlan) -> Result<Tally> {
+pub(crate) async fn run(plan: &CallersPlan) -> Result<CallerStats> {
     let tally = SharedTally::default();
     let mut tasks = Vec::new();
     for index in 0..plan.feeds {
@@ -73,9 +73,9 @@
     let mut text = Vec::new();
     let path = format!("/feed/{id}/{events}/{period_ms}");
     let result = caller
-        .feed(&path, |piece| text.extend_from_slice(piece))
+        .read_feed(&path, |piece| text.extend_from_slice(piece))
         .await;
-    caller.leave_flow();
+    caller.drop_flow();
     let event = |sequence| format!("data: {} {id} {sequence}\n\n", plan.service);
     let expected: String = (0..events).map(event).collect();
     let whole = result.is_ok() && text == expected.as_bytes();
@@ -135,7 +135,7 @@
         let think_ms = rand::rng().random_range(0..=plan.think_ms * 2);
         compio::time::sleep(Duration::from_millis(think_ms)).await;
     }
-    caller.leave_flow();
+    caller.drop_flow();
     count_flows(&caller, tally);
     Ok(())
 }
--- a/lab/src/cli.rs
+++ b/lab/src/cli.rs
@@ -14,12 +14,12 @@
 use crate::load::{self, LoadPlan};
 use crate::load_report;
 use crate::opaque::{OpaqueLoadPlan, run_opaque_load, run_opaque_quickstart, run_soak};
-use crate::opener_account::{
-    OpenerAccount, UntoldFacts, csv_of_openers, lines_dropped, table_of_openers,
+use crate::opener_summary::{
+    LogDefaults, OpenerSummary, count_dropped_lines, openers_csv, openers_table,
 };
 use crate::quickstart::run_quickstart;
 use crate::runtime::block_on;
-use crate::value_spread::{table_of_spreads, value_spreads};
+use crate::value_spread::{spreads_table, value_spreads};
 use crate::{config_service, fabric};
 
 #[derive(Debug, Options)]
@@ -299,13 +299,13 @@
 
 fn quickstart() -> Result<()> {
     let report = run_quickstart(|step| println!("{step}"))?;
-    println!("{}", report.line());
-    if report.tally.is_clean() {
+    println!("{}", report.summary_line());
+    if report.stats.is_clean() {
         return Ok(());
     }
     let message = format!(
         "{} unknown, {} lost",
-        report.tally.unknown, report.tally.lost
+        report.stats.unknown, report.stats.lost
     );
     Err(Error::new(Code::OutcomeUnknown, message))
 }
@@ -358,7 +358,7 @@
     let logs = read_logs(&options.logs, "spread LOG...")?;
     let lines = logs.iter().flat_map(|(name, text)| parse_log(name, text));
     let lines: Vec<_> = lines.collect();
-    print!("{}", table_of_spreads(&value_spreads(&lines)));
+    print!("{}", spreads_table(&value_spreads(&lines)));
     Ok(())
 }
 
@@ -371,18 +371,18 @@
         .split(',')
         .filter(|zone| !zone.is_empty())
         .collect();
-    let untold = UntoldFacts {
+    let untold = LogDefaults {
         slots: options.slots,
         zones: &zones,
     };
-    let account = OpenerAccount::of(&lines, &untold);
+    let account = OpenerSummary::from_lines(&lines, &untold);
     let text = if options.csv {
-        csv_of_openers(&account)
+        openers_csv(&account)
     } else {
-        table_of_openers(&account)
+        openers_table(&account)
     };
     print!("{text}");
-    let dropped: u64 = logs.iter().map(|(_, text)| lines_dropped(text)).sum();
+    let dropped: u64 = logs.iter().map(|(_, text)| count_dropped_lines(text)).sum();
     if dropped > 0 {
         eprintln!("processes did not write {dropped} lines, so that the counts are too low");
     }
--- a/lab/src/config_service.rs
+++ b/lab/src/config_service.rs
@@ -13,7 +13,7 @@
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 
-use crate::http_text::text;
+use crate::http_text::text_response;
 
 const MAX_VALUE_BYTES: usize = 1 << 20;
 const WATCH_POLL: Duration = Duration::from_millis(10);
@@ -78,7 +78,7 @@
         let query = head.uri.query().unwrap_or("");
         return watch(&service, number(query, "since"), number(query, "wait_ms")).await;
     }
-    text(StatusCode::NOT_FOUND, "no such path\n")
+    text_response(StatusCode::NOT_FOUND, "no such path\n")
 }
 
 fn number(query: &str, name: &str) -> u64 {
@@ -134,10 +134,12 @@
     let mut values = shown.values.iter();
     let found = values.find(|(known, _, _)| known == name);
     match found {
-        Some((_, revision, value)) => {
-            with_revision(text(StatusCode::OK, value.clone()), *revision, shown.era)
-        }
-        None => text(StatusCode::NOT_FOUND, "no such value\n"),
+        Some((_, revision, value)) => with_revision(
+            text_response(StatusCode::OK, value.clone()),
+            *revision,
+            shown.era,
+        ),
+        None => text_response(StatusCode::NOT_FOUND, "no such value\n"),
     }
 }
 
@@ -154,7 +156,11 @@
             .collect();
         let silent = service.borrow().mode == Mode::Silent;
         if !silent && (!lines.is_empty() || Instant::now() >= until) {
-            return with_revision(text(StatusCode::OK, lines), shown.highest, shown.era);
+            return with_revision(
+                text_response(StatusCode::OK, lines),
+                shown.highest,
+                shown.era,
+            );
         }
         compio::time::sleep(WATCH_POLL).await;
     }
@@ -163,28 +169,28 @@
 fn admin(service: &Shared, path: &str, body: &[u8]) -> Answer {
     let mut service = service.borrow_mut();
     if path == "calls" {
-        return text(StatusCode::OK, service.calls.to_string());
+        return text_response(StatusCode::OK, service.calls.to_string());
     }
     if let Some(name) = path.strip_prefix("values/") {
         if body.len() > MAX_VALUE_BYTES {
-            return text(StatusCode::PAYLOAD_TOO_LARGE, "larger than a megabyte\n");
+            return text_response(StatusCode::PAYLOAD_TOO_LARGE, "larger than a megabyte\n");
         }
         let revision = service.put(name, &String::from_utf8_lossy(body));
-        return text(StatusCode::OK, revision.to_string());
+        return text_response(StatusCode::OK, revision.to_string());
     }
     if path == "restore" {
         let changes = String::from_utf8_lossy(body).parse().unwrap_or(0);
         service.restore(changes);
-        return text(StatusCode::OK, "done\n");
+        return text_response(StatusCode::OK, "done\n");
     }
     let mode = match path {
         "mode/normal" => Mode::Normal,
         "mode/silent" => Mode::Silent,
         "mode/stale" => Mode::Stale,
         "mode/rolled-back" => Mode::RolledBack,
-        _ => return text(StatusCode::NOT_FOUND, "no such order\n"),
+        _ => return text_response(StatusCode::NOT_FOUND, "no such order\n"),
     };
     service.shown_when_stale = service.published.clone();
     service.mode = mode;
-    text(StatusCode::OK, "done\n")
+    text_response(StatusCode::OK, "done\n")
 }
--- a/lab/src/datagram_rate.rs
+++ b/lab/src/datagram_rate.rs
@@ -34,11 +34,11 @@
     let runtime = compio::runtime::Runtime::new()?;
     let mut site = runtime.block_on(SiteBuilder::new(1).service("front", 1, 4, 5).start())?;
     let id = site.balancer(0).map_or(0, |balancer| balancer.id());
-    let sink = Sink::start(site.spare_host())?;
+    let sink = Sink::start(site.unused_host())?;
     let bare_per_s = bare_rate(&site, &sink)?;
     let port = SocketAddr::from((site.balancer_host(0), site.service_address(0).port()));
     let memory_before_bytes = proc_stat::usage(id)?.memory_bytes;
-    let with_token_per_s = sink.rate_of(port, &token_packets(site.spare_host()))?;
+    let with_token_per_s = sink.rate_of(port, &token_packets(site.unused_host()))?;
     let memory_after_bytes = proc_stat::usage(id)?.memory_bytes;
     let openers_per_s = opener_rate(&runtime, &site, port)?;
     Ok(DatagramRates {
@@ -150,7 +150,7 @@
 
 /// Measures a loop that receives and sends on the daemons' runtime and does nothing else.
 fn bare_rate(site: &Site, sink: &Sink) -> Result<f64> {
-    let address = SocketAddr::from((site.spare_host(), 9));
+    let address = SocketAddr::from((site.unused_host(), 9));
     let to = sink.address;
     let (ready, wait) = std::sync::mpsc::channel();
     thread::spawn(move || -> Result<()> {
--- a/lab/src/experiments.rs
+++ b/lab/src/experiments.rs
@@ -71,7 +71,7 @@
                 percent(row.mean),
                 percent(row.worst),
                 percent(row.end),
-                percent(row.bound),
+                percent(row.lower_bound),
                 percent(row.moved_by_hash),
             );
         }
@@ -135,22 +135,22 @@
     );
     println!("|---|---|---|---|---|---|---|---|---|---|");
     for daemons in [300, 1_200, 2_900, 5_800] {
-        for (loss, dead, cut) in RELAY_CASES {
+        for (loss_rate, dead_share, is_partitioned) in RELAY_CASES {
             let plan = RelayPlan {
                 daemons,
-                loss,
-                dead,
-                cut,
+                loss_rate,
+                dead_share,
+                is_partitioned,
                 seed,
             };
             let outcome = relay_model::run(&plan);
             println!(
-                "| {daemons} | {loss} | {dead} | {cut} | {} | {} | {} | {:.2} | {} | {} |",
-                outcome.half_ms,
-                outcome.most_ms,
+                "| {daemons} | {loss_rate} | {dead_share} | {is_partitioned} | {} | {} | {} | {:.2} | {} | {} |",
+                outcome.p50_ms,
+                outcome.p99_ms,
                 outcome.all_ms,
-                outcome.tells_each,
-                outcome.most_received,
+                outcome.pushes_per_daemon,
+                outcome.max_pushes_received,
                 outcome.platform_reads,
             );
         }
--- a/lab/src/fabric.rs
+++ b/lab/src/fabric.rs
@@ -15,7 +15,7 @@
 use rand::Rng;
 use rand::seq::IndexedRandom;
 
-use crate::http_text::text;
+use crate::http_text::text_response;
 
 const BUFFER_BYTES: usize = 2_048;
 const MAX_DELAY_MS: u64 = 30;
@@ -56,7 +56,7 @@
         } else {
             StatusCode::BAD_REQUEST
         };
-        std::future::ready(text(status, "\n"))
+        std::future::ready(text_response(status, "\n"))
     })
     .await;
     Ok(())
--- a/lab/src/http_text.rs
+++ b/lab/src/http_text.rs
@@ -11,14 +11,14 @@
 const TIMEOUT_MS: u64 = 5_000;
 
 /// Makes an answer of a status and a text.
-pub(crate) fn text(status: StatusCode, text: impl Into<Bytes>) -> Response<Full<Bytes>> {
+pub(crate) fn text_response(status: StatusCode, text: impl Into<Bytes>) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(text.into()));
     *response.status_mut() = status;
     response
 }
 
 /// Asks a stand-in and returns its answer's text.
-pub(crate) async fn ask(
+pub(crate) async fn request_text(
     address: SocketAddr,
     method: &str,
     path: &str,
@@ -35,7 +35,7 @@
 }
 
 /// Sums the values of a metric over its labels in what a daemon's `/metrics` shows.
-pub(crate) fn metric(text: &str, name: &str) -> f64 {
+pub(crate) fn metric_sum(text: &str, name: &str) -> f64 {
     let prefix = format!("endivedyke_{name}");
     let labelled = format!("{prefix}{{");
     let values = text.lines().filter_map(|line| {
--- a/lab/src/imbalance.rs
+++ b/lab/src/imbalance.rs
@@ -30,7 +30,7 @@
     /// Which part of the open flows an owner by plain hash, without a token, would lose.
     pub moved_by_hash: f64,
     /// The least imbalance that new flows alone could have reached at its end.
-    pub bound: f64,
+    pub lower_bound: f64,
 }
 
 /// What is done to the service before the window.
@@ -41,16 +41,16 @@
 fn raise_first(model: &mut ServiceModel, targets: usize) {
     let mut weights = vec![100; targets];
     weights[0] = 150;
-    model.edit(&weights);
+    model.set_weights(&weights);
 }
 
 fn add_target(model: &mut ServiceModel, targets: usize) {
-    model.edit(&vec![100; targets + 1]);
+    model.set_weights(&vec![100; targets + 1]);
 }
 
 fn kill_last(model: &mut ServiceModel, targets: usize) {
     model.kill(targets - 1);
-    model.edit(&vec![100; targets - 1]);
+    model.set_weights(&vec![100; targets - 1]);
 }
 
 fn reopen_all(model: &mut ServiceModel, _targets: usize) {
@@ -94,7 +94,7 @@
             let before = model.table().clone();
             change(&mut model, targets);
             let moved_by_hash = moved(&before, model.table());
-            let bound = model.bound(WINDOW_MS);
+            let lower_bound = model.imbalance_lower_bound(WINDOW_MS);
             let seen = model.run(WINDOW_MS);
             ImbalanceRow {
                 targets,
@@ -105,7 +105,7 @@
                 worst: seen.iter().copied().fold(0.0, f64::max),
                 end: model.imbalance(),
                 moved_by_hash,
-                bound,
+                lower_bound,
             }
         })
         .collect()
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -6,7 +6,9 @@
 mod backend_server;
 mod caller;
 mod caller_process;
+mod caller_stats;
 mod callers;
+mod claim_check;
 mod cli;
 mod config_service;
 mod control_cost;
@@ -16,12 +18,11 @@
 mod fabric;
 mod http_text;
 mod imbalance;
-mod ledger_check;
 mod load;
 mod load_report;
 mod loopback_net;
 pub mod opaque;
-mod opener_account;
+mod opener_summary;
 mod proc_stat;
 mod process;
 mod quickstart;
@@ -30,22 +31,21 @@
 mod service_model;
 mod site;
 mod site_files;
-mod tally;
 mod value_spread;
 
 pub use crate::caller::{Caller, Reply};
 pub use crate::caller_process::{CallerLoad, CallerProcess};
+pub use crate::caller_stats::CallerStats;
 pub use crate::cli::run;
 pub use crate::imbalance::{ImbalanceRow, run as run_imbalance};
 pub use crate::loopback_net::LoopbackNet;
-pub use crate::opener_account::{
-    OpenerAccount, OpenerEnd, OpenerOutcome, UntoldFacts, csv_of_openers, lines_dropped,
-    table_of_openers,
+pub use crate::opener_summary::{
+    LogDefaults, OpenerEnd, OpenerOutcome, OpenerSummary, count_dropped_lines, openers_csv,
+    openers_table,
 };
-pub use crate::process::{Process, binary};
+pub use crate::process::{Process, binary_path};
 pub use crate::quickstart::{QuickstartReport, run_quickstart};
 pub use crate::relay_model::{RelayOutcome, RelayPlan, run as run_relay};
 pub use crate::service_model::{ModelLoad, Policy, ServiceModel, imbalance};
 pub use crate::site::{Site, SiteBuilder};
-pub use crate::tally::Tally;
-pub use crate::value_spread::{ValueSpread, table_of_spreads, value_spreads};
+pub use crate::value_spread::{ValueSpread, spreads_table, value_spreads};
--- a/lab/src/load.rs
+++ b/lab/src/load.rs
@@ -6,10 +6,10 @@
 use serde::Serialize;
 
 use crate::caller_process::{CallerLoad, CallerProcess};
+use crate::caller_stats::CallerStats;
 use crate::control_traffic::{self, ControlTraffic};
 use crate::proc_stat;
 use crate::site::{Site, SiteBuilder};
-use crate::tally::Tally;
 
 const SAMPLE_PERIOD: Duration = Duration::from_secs(1);
 
@@ -114,7 +114,7 @@
 #[derive(Debug, Default, Serialize)]
 pub(crate) struct LoadReport {
     pub(crate) seconds: u64,
-    pub(crate) tally: Tally,
+    pub(crate) tally: CallerStats,
     pub(crate) processes: Vec<ProcessSample>,
     pub(crate) targets: Vec<TargetSample>,
     pub(crate) platform_calls: u64,
@@ -148,14 +148,14 @@
         tallies.push(callers.finish(&site).await?);
     }
     add_tallies(&mut report, &tallies);
-    site.platform_order("POST", "mode/normal", "").await?;
+    site.platform_command("POST", "mode/normal", "").await?;
     report.platform_calls = platform_calls(&site).await? - calls_before;
     Ok(report)
 }
 
 /// Adds the counts up; each process has compared its claims with the whole journal, so a doubled
 /// claim shows in all of them.
-fn add_tallies(report: &mut LoadReport, tallies: &[Tally]) {
+fn add_tallies(report: &mut LoadReport, tallies: &[CallerStats]) {
     let doubled = tallies.iter().map(|tally| tally.doubled).max().unwrap_or(0);
     for tally in tallies {
         report.tally.add(tally);
@@ -164,7 +164,7 @@
 }
 
 async fn platform_calls(site: &Site) -> Result<u64> {
-    let calls = site.platform_order("GET", "calls", "").await?;
+    let calls = site.platform_command("GET", "calls", "").await?;
     Ok(calls.trim().parse().unwrap_or(0))
 }
 
@@ -199,7 +199,7 @@
             site.set_weights(0, &weights).await?;
         }
         LoadEvent::SilencePlatform => {
-            site.platform_order("POST", "mode/silent", "").await?;
+            site.platform_command("POST", "mode/silent", "").await?;
         }
     }
     Ok(())
@@ -248,7 +248,7 @@
 
 async fn busy_ms(site: &Site, host: usize) -> u64 {
     let counts = site
-        .backend_order(0, host, "counts")
+        .backend_command(0, host, "counts")
         .await
         .unwrap_or_default();
     let counts: serde_json::Value = serde_json::from_str(&counts).unwrap_or_default();
--- a/lab/src/loopback_net.rs
+++ b/lab/src/loopback_net.rs
@@ -26,7 +26,7 @@
     /// # Errors
     ///
     /// Returns code 5001 where none of many is free.
-    pub fn draw() -> Result<Self> {
+    pub fn reserve_random() -> Result<Self> {
         let drawn = (0..DRAWS).find_map(|_| {
             let net = (rand::random_range(16..=250), rand::random_range(0..=250));
             Self::reserve(net).ok()
@@ -53,7 +53,7 @@
     }
 
     /// Returns the two numbers that name the network.
-    pub fn numbers(&self) -> (u8, u8) {
+    pub fn octets(&self) -> (u8, u8) {
         self.net
     }
 }
--- a/lab/src/opaque/site.rs
+++ b/lab/src/opaque/site.rs
@@ -147,7 +147,7 @@
     ///
     /// Returns code 5001 where an address is taken.
     pub async fn start_stand_ins(self) -> Result<OpaqueSite> {
-        let net = LoopbackNet::draw()?;
+        let net = LoopbackNet::reserve_random()?;
         let ip = |last: usize| net.ip(last as u8);
         let store = StoreHandle::start((ip(2), STORE_PORT).into()).await?;
         let proxy =
--- a/lab/src/opaque/site/observations.rs
+++ b/lab/src/opaque/site/observations.rs
@@ -52,6 +52,6 @@
         let address = SocketAddr::from((host, METRICS_PORT));
         let answer = endivedyke::http_get(address, "/metrics", 2_000).await?;
         let text = String::from_utf8_lossy(answer.body()).into_owned();
-        Ok(crate::http_text::metric(&text, name))
+        Ok(crate::http_text::metric_sum(&text, name))
     }
 }
--- a/lab/src/opaque/site/processes.rs
+++ b/lab/src/opaque/site/processes.rs
@@ -64,7 +64,7 @@
         std::fs::write(&path, settings)?;
         let arguments = ["--settings".to_owned(), path.display().to_string()];
         if self.spec.log_to_pipe {
-            Process::start_unread(program, &arguments)
+            Process::start_with_unread_output(program, &arguments)
         } else {
             Process::start(program, &arguments)
         }
--- a/lab/src/opaque/soak.rs
+++ b/lab/src/opaque/soak.rs
@@ -211,7 +211,7 @@
             Fault::ForgetHistory => self.site.store().forget_history(),
             Fault::HangUp => {
                 if let Some(process) = self.site.agent(index) {
-                    quietly(process.hang_up());
+                    quietly(process.reload());
                 }
             }
             Fault::RestoreStore => {
--- a/lab/src/opaque/store.rs
+++ b/lab/src/opaque/store.rs
@@ -16,7 +16,7 @@
 use percent_encoding::percent_decode_str;
 use serde_json::{Value, json};
 
-use crate::http_text::text;
+use crate::http_text::text_response;
 
 /// The header of all answers that tells how often the store came back from an older copy.
 const ERA_HEADER: &str = "store-era";
@@ -202,18 +202,22 @@
                 (store.fault, turned_away)
             };
             match fault {
-                _ if turned_away => return text(StatusCode::SERVICE_UNAVAILABLE, "{}"),
+                _ if turned_away => return text_response(StatusCode::SERVICE_UNAVAILABLE, "{}"),
                 None => break,
                 Some(StoreFault::Silent) => compio::time::sleep(WATCH_POLL).await,
-                Some(StoreFault::Busy) => return text(StatusCode::SERVICE_UNAVAILABLE, "{}"),
-                Some(StoreFault::TooMany) => return text(StatusCode::TOO_MANY_REQUESTS, "{}"),
-                Some(StoreFault::Garbled) => return text(StatusCode::OK, "{\"items\":7"),
+                Some(StoreFault::Busy) => {
+                    return text_response(StatusCode::SERVICE_UNAVAILABLE, "{}");
+                }
+                Some(StoreFault::TooMany) => {
+                    return text_response(StatusCode::TOO_MANY_REQUESTS, "{}");
+                }
+                Some(StoreFault::Garbled) => return text_response(StatusCode::OK, "{\"items\":7"),
             }
         }
         match request.uri().path() {
             "/api/kv-range" => self.range(&query),
             "/api/kv-watch" => self.watch(&query).await,
-            _ => text(StatusCode::NOT_FOUND, "{}"),
+            _ => text_response(StatusCode::NOT_FOUND, "{}"),
         }
     }
 
@@ -242,7 +246,7 @@
             .collect();
         let has_more = page.len() < found.len();
         let body = json!({"items": page, "hasMore": has_more, "storeRevision": revision});
-        text(StatusCode::OK, body.to_string())
+        text_response(StatusCode::OK, body.to_string())
     }
 
     async fn watch(&self, query: &str) -> Answer {
@@ -254,7 +258,7 @@
             {
                 let store = self.store.borrow();
                 if after < store.forgotten_revision || after > store.revision {
-                    return text(StatusCode::GONE, "{}");
+                    return text_response(StatusCode::GONE, "{}");
                 }
                 let newer = store.events.iter();
                 let newer =
@@ -262,7 +266,7 @@
                 let events: Vec<Value> = newer.map(event).collect();
                 if store.fault.is_none() && (!events.is_empty() || Instant::now() >= until) {
                     let body = json!({"events": events, "storeRevision": store.revision});
-                    return text(StatusCode::OK, body.to_string());
+                    return text_response(StatusCode::OK, body.to_string());
                 }
             }
             compio::time::sleep(WATCH_POLL).await;
--- a/lab/src/opener_account.rs
+++ b/lab/src/opener_summary.rs
@@ -10,11 +10,11 @@
 
 use endivedyke::{Code, LogLine};
 
-pub use crate::opener_account::report::{csv_of_openers, table_of_openers};
+pub use crate::opener_summary::report::{openers_csv, openers_table};
 
 use crate::opaque::OPENER_COPIES_MS;
-use crate::opener_account::known_loads::KnownLoads;
-use crate::opener_account::services::Services;
+use crate::opener_summary::known_loads::KnownLoads;
+use crate::opener_summary::services::Services;
 
 /// The codes of a reset that refuses an opener: nobody had room, or all that could take it are evacuated.
 const REFUSALS: [Code; 2] = [Code::NoRoom, Code::ServiceEvacuated];
@@ -91,12 +91,12 @@
     /// How many agents it was offered to, as far as lines tell.
     pub offers: usize,
     /// Whether an agent of its service had a slot free when it was last not taken; none where no line tells it.
-    pub needless: Option<bool>,
+    pub slot_was_free: Option<bool>,
 }
 
 /// What became of all openers.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct OpenerAccount<'a> {
+pub struct OpenerSummary<'a> {
     /// The openers, in the order of their flows.
     pub openers: Vec<OpenerOutcome<'a>>,
     /// How many copies of openers were dropped.
@@ -105,16 +105,16 @@
 
 /// What lines may leave untold.
 #[derive(Debug, Clone, Copy)]
-pub struct UntoldFacts<'a> {
+pub struct LogDefaults<'a> {
     /// The slots of a backend server whose agent's lines don't tell them.
     pub slots: u32,
     /// Availability zones; a process whose name contains one of them stands there.
     pub zones: &'a [&'a str],
 }
 
-impl<'a> OpenerAccount<'a> {
+impl<'a> OpenerSummary<'a> {
     /// Makes the account of the lines of any number of processes.
-    pub fn of(lines: &[LogLine<'a>], untold: &UntoldFacts<'a>) -> Self {
+    pub fn from_lines(lines: &[LogLine<'a>], untold: &LogDefaults<'a>) -> Self {
         let mut lines: Vec<&LogLine<'a>> = lines.iter().collect();
         lines.sort_by_key(|line| line.time_ms);
         let services = Services::of(&lines);
@@ -135,7 +135,7 @@
 }
 
 /// Returns how many lines the processes of a text did not write.
-pub fn lines_dropped(text: &str) -> u64 {
+pub fn count_dropped_lines(text: &str) -> u64 {
     let lines = text
         .lines()
         .filter_map(|line| line.split_once(LINES_DROPPED));
@@ -173,10 +173,10 @@
         let reason = obstacles.iter().rev().find_map(|line| reason(line));
         let reason = reason.or_else(|| last.field("code"));
         let service = services.of_flow(flow);
-        let needless = obstacles
+        let last_obstacle = obstacles
             .last()
             .filter(|line| !has_code_of(line, &NOT_FOR_ROOM));
-        let needless = needless.and_then(|line| {
+        let slot_was_free = last_obstacle.and_then(|line| {
             loads.any_free(line.time_ms, |agent| services.of_agent(agent) == service)
         });
         let process = zones.binary_search_by_key(&last.process, |(process, _)| *process);
@@ -189,7 +189,7 @@
             first_ms: first.time_ms,
             took_ms: is_taken(last).then(|| took_ms(first, last)),
             offers: offers(told),
-            needless,
+            slot_was_free,
         })
     }
 }
--- a/lab/src/opener_account/report.rs
+++ b/lab/src/opener_summary/report.rs
@@ -1,6 +1,6 @@
 //! The account of openers as a table to read and as rows for programs.
 
-use crate::opener_account::{OpenerAccount, OpenerEnd, OpenerOutcome};
+use crate::opener_summary::{OpenerEnd, OpenerOutcome, OpenerSummary};
 
 /// The shares of openers whose time until they were taken is told, in percent.
 const PERCENTILES: [usize; 3] = [50, 95, 99];
@@ -8,7 +8,7 @@
 const COLUMNS: &str = "| openers of | all | at once | offered on | waited | dropped | refused | no end told | needless of dropped and refused | p50 ms | p95 ms | p99 ms |";
 
 /// Returns the totals, those of each service and availability zone, and the reasons.
-pub fn table_of_openers(account: &OpenerAccount<'_>) -> String {
+pub fn openers_table(account: &OpenerSummary<'_>) -> String {
     let mut text = format!("{COLUMNS}\n{}\n", rule_under(COLUMNS));
     let all: Vec<&OpenerOutcome<'_>> = account.openers.iter().collect();
     add_row(&mut text, "all", &all);
@@ -23,11 +23,11 @@
 }
 
 /// Returns a row for each opener, under a row of names.
-pub fn csv_of_openers(account: &OpenerAccount<'_>) -> String {
+pub fn openers_csv(account: &OpenerSummary<'_>) -> String {
     let mut text = "flow,service,zone,end,reason,first_ms,took_ms,offers,needless\n".to_owned();
     for opener in &account.openers {
         let took = opener.took_ms.map(|ms| ms.to_string()).unwrap_or_default();
-        let needless = opener.needless.map(|needless| needless.to_string());
+        let needless = opener.slot_was_free.map(|needless| needless.to_string());
         let cells = [
             opener.flow.to_owned(),
             opener.service.to_owned(),
@@ -106,7 +106,7 @@
 fn needless(openers: &[&OpenerOutcome<'_>]) -> String {
     let told: Vec<bool> = openers
         .iter()
-        .filter_map(|opener| opener.needless)
+        .filter_map(|opener| opener.slot_was_free)
         .collect();
     let needless = told.iter().filter(|needless| **needless).count();
     format!("{needless} of {}", told.len())
--- a/lab/src/process.rs
+++ b/lab/src/process.rs
@@ -12,7 +12,7 @@
 /// # Errors
 ///
 /// Returns code 5001 where it was not built; `cargo build --workspace` builds all.
-pub fn binary(name: &str) -> Result<PathBuf> {
+pub fn binary_path(name: &str) -> Result<PathBuf> {
     let own = std::env::current_exe()?;
     let folders = own.ancestors().skip(1).take(2);
     let found = folders
@@ -43,12 +43,12 @@
     /// # Errors
     ///
     /// Returns code 5001 where it can't be started.
-    pub fn start_unread(program: &str, arguments: &[String]) -> Result<Process> {
+    pub fn start_with_unread_output(program: &str, arguments: &[String]) -> Result<Process> {
         Self::spawn(program, arguments, Stdio::piped())
     }
 
     fn spawn(program: &str, arguments: &[String], output: Stdio) -> Result<Process> {
-        let child = Command::new(binary(program)?)
+        let child = Command::new(binary_path(program)?)
             .args(arguments)
             .stdin(Stdio::null())
             .stdout(output)
@@ -93,7 +93,7 @@
     /// # Errors
     ///
     /// Returns code 5001 where the process is gone.
-    pub fn hang_up(&self) -> Result<()> {
+    pub fn reload(&self) -> Result<()> {
         self.signal(Signal::HUP)
     }
 
--- a/lab/src/quickstart.rs
+++ b/lab/src/quickstart.rs
@@ -5,8 +5,8 @@
 use endivedyke::Result;
 
 use crate::caller_process::{CallerLoad, CallerProcess};
+use crate::caller_stats::CallerStats;
 use crate::site::{Site, SiteBuilder};
-use crate::tally::Tally;
 
 const RUN_SECONDS: u64 = 8;
 const END_TIMEOUT: Duration = Duration::from_secs(60);
@@ -15,20 +15,20 @@
 #[derive(Debug, Clone, Default)]
 pub struct QuickstartReport {
     /// What callers and backend servers saw.
-    pub tally: Tally,
+    pub stats: CallerStats,
 }
 
 impl QuickstartReport {
     /// Returns the closing line.
-    pub fn line(&self) -> String {
-        let tally = &self.tally;
+    pub fn summary_line(&self) -> String {
+        let stats = &self.stats;
         format!(
             "quickstart: {} requests, {} answered, {} wrong, {} doubled, {} flows broken",
-            tally.requests,
-            tally.answered,
-            tally.wrong,
-            tally.doubled + tally.lost,
-            tally.flows_broken + tally.feeds_broken,
+            stats.requests,
+            stats.answered,
+            stats.wrong,
+            stats.doubled + stats.lost,
+            stats.flows_broken + stats.feeds_broken,
         )
     }
 }
@@ -65,7 +65,7 @@
     say("the change is in force everywhere; waiting for the callers");
     let mut report = QuickstartReport::default();
     for callers in callers {
-        report.tally.add(&callers.finish(&site).await?);
+        report.stats.add(&callers.finish(&site).await?);
     }
     Ok(report)
 }
--- a/lab/src/relay_model.rs
+++ b/lab/src/relay_model.rs
@@ -21,11 +21,11 @@
     /// How many daemons there are, spread over six availability zones in two regions.
     pub daemons: usize,
     /// Which part of the messages is lost.
-    pub loss: f64,
+    pub loss_rate: f64,
     /// Which part of the daemons is down, though the host list still names them.
-    pub dead: f64,
+    pub dead_share: f64,
     /// Whether the regions are cut from each other for the first minute.
-    pub cut: bool,
+    pub is_partitioned: bool,
     /// The seed of the random source.
     pub seed: u64,
 }
@@ -34,15 +34,15 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct RelayOutcome {
     /// When half of the live daemons had the change, in milliseconds.
-    pub half_ms: u64,
+    pub p50_ms: u64,
     /// When 99 % had it, in milliseconds.
-    pub most_ms: u64,
+    pub p99_ms: u64,
     /// When the last had it, in milliseconds.
     pub all_ms: u64,
     /// Tells sent by each daemon, in the mean.
-    pub tells_each: f64,
+    pub pushes_per_daemon: f64,
     /// The most tells that one daemon received.
-    pub most_received: u64,
+    pub max_pushes_received: u64,
     /// Reads of the platform for the change.
     pub platform_reads: u64,
 }
@@ -93,7 +93,7 @@
     let hosts = hosts(plan.daemons);
     let mut random = StdRng::seed_from_u64(plan.seed);
     let alive: Vec<bool> = (0..plan.daemons)
-        .map(|_| !random.random_bool(plan.dead))
+        .map(|_| !random.random_bool(plan.dead_share))
         .collect();
     let peers = (0..plan.daemons).map(|index| {
         let links = select_peers(&hosts, address(index), |_| true);
@@ -174,8 +174,8 @@
     }
 
     fn passes(&mut self, from: usize, to: usize, now_ms: u64) -> bool {
-        let cut = self.plan.cut && now_ms < CUT_MS && region(from) != region(to);
-        !cut && !self.random.random_bool(self.plan.loss)
+        let cut = self.plan.is_partitioned && now_ms < CUT_MS && region(from) != region(to);
+        !cut && !self.random.random_bool(self.plan.loss_rate)
     }
 
     fn delay_ms(&mut self, from: usize, to: usize) -> u64 {
@@ -191,11 +191,11 @@
         times.sort_unstable();
         let at = |part: f64| times[((times.len() - 1) as f64 * part) as usize];
         RelayOutcome {
-            half_ms: at(0.5),
-            most_ms: at(0.99),
+            p50_ms: at(0.5),
+            p99_ms: at(0.99),
             all_ms: at(1.0),
-            tells_each: self.tells as f64 / times.len() as f64,
-            most_received: self.received.iter().copied().max().unwrap_or(0),
+            pushes_per_daemon: self.tells as f64 / times.len() as f64,
+            max_pushes_received: self.received.iter().copied().max().unwrap_or(0),
             platform_reads,
         }
     }
--- a/lab/src/service_model.rs
+++ b/lab/src/service_model.rs
@@ -101,7 +101,7 @@
     }
 
     /// Puts new weights in force; a target beyond the ones known starts cold.
-    pub fn edit(&mut self, weights: &[u32]) {
+    pub fn set_weights(&mut self, weights: &[u32]) {
         self.table = table(weights);
         for index in self.agents.len()..weights.len() {
             self.agents.push(ModelAgent {
@@ -180,7 +180,7 @@
     ///
     /// Each target keeps what does not end by itself, and all expected arrivals go where the level
     /// is lowest (filled like water), which no policy can beat without moving flows.
-    pub fn bound(&self, span_ms: u64) -> f64 {
+    pub fn imbalance_lower_bound(&self, span_ms: u64) -> f64 {
         let until_ms = self.now_ms + span_ms;
         let mut kept = vec![0.0; self.agents.len()];
         for Reverse((end_ms, target)) in &self.ends {
--- a/lab/src/site.rs
+++ b/lab/src/site.rs
@@ -1,6 +1,6 @@
 //! A whole site on loopback: stand-ins, balancers and agents, each a process of its own.
 
-mod waits;
+mod readiness;
 
 use std::fs;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -86,7 +86,7 @@
     /// Returns code 5001 where a process does not come up.
     pub async fn start(self) -> Result<Site> {
         let mut site = Site {
-            net: LoopbackNet::draw()?,
+            net: LoopbackNet::reserve_random()?,
             folder: tempfile::tempdir()?,
             spec: self,
             platform: None,
@@ -123,7 +123,7 @@
         SocketAddr::from((self.ip(2), PLATFORM_PORT))
     }
 
-    fn fabric_admin(&self) -> SocketAddr {
+    fn fabric_admin_address(&self) -> SocketAddr {
         SocketAddr::from((self.ip(1), FABRIC_ADMIN_PORT))
     }
 
@@ -143,7 +143,7 @@
     }
 
     /// Returns a host on which the site runs nothing.
-    pub(crate) fn spare_host(&self) -> Ipv4Addr {
+    pub(crate) fn unused_host(&self) -> Ipv4Addr {
         self.ip(250)
     }
 
@@ -195,7 +195,7 @@
             self.balancers.push(None);
             self.start_balancer(index)?;
         }
-        self.wait_backends().await?;
+        self.wait_backends_ready().await?;
         self.wait_ready().await
     }
 
@@ -208,8 +208,8 @@
         let address = self.platform_address().to_string();
         let arguments = ["config-service", "--address", &address].map(str::to_owned);
         self.platform = Some(Process::start("endivedyke-lab", &arguments)?);
-        self.until("the configuration service", async |site| {
-            site.platform_order("GET", "calls", "").await.is_ok()
+        self.wait_until("the configuration service", async |site| {
+            site.platform_command("GET", "calls", "").await.is_ok()
         })
         .await
     }
@@ -224,7 +224,7 @@
             "--balancers".to_owned(),
             balancers.collect::<Vec<_>>().join(","),
             "--admin".to_owned(),
-            self.fabric_admin().to_string(),
+            self.fabric_admin_address().to_string(),
         ];
         self.fabric = Some(Process::start("endivedyke-lab", &arguments)?);
         Ok(())
@@ -319,7 +319,7 @@
     }
 
     async fn publish_all(&self) -> Result<()> {
-        self.publish(HOSTS_NAME, &self.hosts_text(&[])).await?;
+        self.publish(HOSTS_NAME, &self.host_list_text(&[])).await?;
         for (service, spec) in self.spec.services.iter().enumerate() {
             let table = self.table_text(service, &vec![100; spec.targets]);
             self.publish(&format!("{TABLE_PREFIX}{}", spec.name), &table)
@@ -335,7 +335,7 @@
     /// Returns code 5001 where the configuration service does not answer.
     pub async fn publish(&self, name: &str, text: &str) -> Result<u64> {
         let revision = self
-            .platform_order("PUT", &format!("values/{name}"), text)
+            .platform_command("PUT", &format!("values/{name}"), text)
             .await?;
         revision
             .trim()
@@ -359,9 +359,9 @@
     /// # Errors
     ///
     /// Returns code 5001 where it does not answer.
-    pub async fn platform_order(&self, method: &str, order: &str, body: &str) -> Result<String> {
+    pub async fn platform_command(&self, method: &str, order: &str, body: &str) -> Result<String> {
         let path = format!("/admin/{order}");
-        http_text::ask(self.platform_address(), method, &path, body).await
+        http_text::request_text(self.platform_address(), method, &path, body).await
     }
 
     /// Gives the fabric an order, such as `faults/10/10/10`.
@@ -369,8 +369,14 @@
     /// # Errors
     ///
     /// Returns code 5001 where it does not answer.
-    pub async fn fabric_order(&self, order: &str) -> Result<String> {
-        http_text::ask(self.fabric_admin(), "POST", &format!("/{order}"), "").await
+    pub async fn fabric_command(&self, order: &str) -> Result<String> {
+        http_text::request_text(
+            self.fabric_admin_address(),
+            "POST",
+            &format!("/{order}"),
+            "",
+        )
+        .await
     }
 
     /// Gives a backend server an order, such as `mode/fail-fast`, or asks for `counts`.
@@ -378,9 +384,14 @@
     /// # Errors
     ///
     /// Returns code 5001 where it does not answer.
-    pub async fn backend_order(&self, service: usize, host: usize, order: &str) -> Result<String> {
+    pub async fn backend_command(
+        &self,
+        service: usize,
+        host: usize,
+        order: &str,
+    ) -> Result<String> {
         let address = self.backend_address(service, host);
-        http_text::ask(address, "GET", &format!("/lab/{order}"), "").await
+        http_text::request_text(address, "GET", &format!("/lab/{order}"), "").await
     }
 
     /// Returns all claims that the backend servers of a service ran.
@@ -388,10 +399,10 @@
     /// # Errors
     ///
     /// Returns code 5001 where one does not answer.
-    pub async fn journal(&self, service: usize) -> Result<Vec<String>> {
+    pub async fn executed_claims(&self, service: usize) -> Result<Vec<String>> {
         let mut journal = Vec::new();
         for host in 0..self.spec.services[service].targets {
-            let claims = self.backend_order(service, host, "claims").await?;
+            let claims = self.backend_command(service, host, "claims").await?;
             journal.extend(claims.lines().map(str::to_owned));
         }
         Ok(journal)
@@ -418,8 +429,8 @@
         names: [&str; N],
     ) -> Result<[f64; N]> {
         let address = SocketAddr::from((host, METRICS_PORT));
-        let text = http_text::ask(address, "GET", "/metrics", "").await?;
-        Ok(names.map(|name| http_text::metric(&text, name)))
+        let text = http_text::request_text(address, "GET", "/metrics", "").await?;
+        Ok(names.map(|name| http_text::metric_sum(&text, name)))
     }
 
     /// Returns the hosts of all daemons.
@@ -435,7 +446,7 @@
     ///
     /// Returns code 5001 where that takes too long.
     pub async fn wait_ready(&self) -> Result<()> {
-        self.until("the daemons", async |site| {
+        self.wait_until("the daemons", async |site| {
             for (index, host) in site.daemon_hosts().into_iter().enumerate() {
                 let agent = index.checked_sub(site.spec.balancers);
                 let open = site.metric(host, "services_open").await.unwrap_or(0.0);
@@ -463,7 +474,7 @@
     ///
     /// Returns code 5001 where that takes too long.
     pub async fn wait_revision(&self, hosts: &[Ipv4Addr], revision: u64) -> Result<()> {
-        self.until("the revision", async |site| {
+        self.wait_until("the revision", async |site| {
             for host in hosts {
                 let held = site.metric(*host, "config_revision").await.unwrap_or(0.0);
                 if (held as u64) < revision {
--- a/lab/src/site/waits.rs
+++ b/lab/src/site/readiness.rs
@@ -8,11 +8,11 @@
 
 impl Site {
     /// Waits until each backend server takes orders, which daemons do not need in order to be ready.
-    pub(super) async fn wait_backends(&self) -> Result<()> {
+    pub(super) async fn wait_backends_ready(&self) -> Result<()> {
         for service in 0..self.spec.services.len() {
             for host in 0..self.spec.services[service].targets {
-                self.until("a backend server", async |site| {
-                    site.backend_order(service, host, "counts").await.is_ok()
+                self.wait_until("a backend server", async |site| {
+                    site.backend_command(service, host, "counts").await.is_ok()
                 })
                 .await?;
             }
@@ -25,7 +25,7 @@
     /// # Errors
     ///
     /// Returns code 5001, naming `what`, where that takes too long.
-    pub async fn until(&self, what: &str, holds: impl AsyncFn(&Site) -> bool) -> Result<()> {
+    pub async fn wait_until(&self, what: &str, holds: impl AsyncFn(&Site) -> bool) -> Result<()> {
         let until = Instant::now() + READY_TIMEOUT;
         while !holds(self).await {
             if Instant::now() >= until {
--- a/lab/src/site_files.rs
+++ b/lab/src/site_files.rs
@@ -42,7 +42,7 @@
     }
 
     /// Returns the host list as the platform publishes it.
-    pub fn hosts_text(&self, leaving: &[Ipv4Addr]) -> String {
+    pub fn host_list_text(&self, leaving: &[Ipv4Addr]) -> String {
         let zone = |index: usize| &self.spec.zones[index % self.spec.zones.len()];
         let state = |host| {
             if leaving.contains(&host) {
--- a/lab/src/value_spread.rs
+++ b/lab/src/value_spread.rs
@@ -16,7 +16,7 @@
     /// How long after that each of the others had it or a later one, in milliseconds, sorted.
     pub delays_ms: Vec<u64>,
     /// How many never told that they had it.
-    pub untold: usize,
+    pub unreported: usize,
 }
 
 impl ValueSpread {
@@ -89,7 +89,7 @@
         revision: change,
         first_ms,
         delays_ms: Vec::new(),
-        untold: 0,
+        unreported: 0,
     };
     for process in told {
         let until_ms = had_ms(process).unwrap_or(u64::MAX);
@@ -100,7 +100,7 @@
         }
         match had_ms(process) {
             Some(time_ms) => spread.delays_ms.push(time_ms - first_ms),
-            None => spread.untold += 1,
+            None => spread.unreported += 1,
         }
     }
     spread.delays_ms.sort_unstable();
@@ -108,7 +108,7 @@
 }
 
 /// Returns a table of changes, a line each.
-pub fn table_of_spreads(spreads: &[ValueSpread]) -> String {
+pub fn spreads_table(spreads: &[ValueSpread]) -> String {
     let mut text = String::from("revision  processes  untold  median ms  99th ms  last ms\n");
     let cell = |delay_ms: Option<u64>| delay_ms.map_or("-".to_owned(), |ms| ms.to_string());
     for spread in spreads {
@@ -116,7 +116,7 @@
             "{:<8}  {:<9}  {:<6}  {:<9}  {:<7}  {}\n",
             spread.revision,
             spread.delays_ms.len(),
-            spread.untold,
+            spread.unreported,
             cell(spread.percentile_ms(50)),
             cell(spread.percentile_ms(99)),
             cell(spread.delays_ms.last().copied()),
--- a/lab/tests/agent_failures.rs
+++ b/lab/tests/agent_failures.rs
@@ -5,7 +5,9 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use common::{assert_promises, assert_unnoticed, load, run, site, sleep_ms, without_lists};
+use common::{
+    assert_no_corruption, assert_no_visible_failure, counts_only, load, run, site, sleep_ms,
+};
 use endivedyke_lab::{Caller, CallerProcess, Site};
 use http::Method;
 
@@ -28,7 +30,7 @@
             .await
             .expect("drains on");
         let tally = callers.finish(&site).await.expect("ends");
-        assert_unnoticed(&tally);
+        assert_no_visible_failure(&tally);
         let agent = site.agent(0).expect("runs");
         assert_eq!(
             agent.wait(Duration::from_secs(20)).await,
@@ -45,7 +47,7 @@
         let site = site(2).await;
         let leaving = site.agent_host(0);
         let revision = site
-            .publish("hosts", &site.hosts_text(&[leaving]))
+            .publish("hosts", &site.host_list_text(&[leaving]))
             .await
             .expect("published");
         site.wait_revision(&site.daemon_hosts(), revision)
@@ -54,7 +56,7 @@
         sleep_ms(200).await;
         let callers = CallerProcess::start(&site, 0, &load(5, 5, 2)).expect("callers");
         let tally = callers.finish(&site).await.expect("ends");
-        assert_unnoticed(&tally);
+        assert_no_visible_failure(&tally);
         let accepted = site
             .metric(leaving, "flows_accepted_total")
             .await
@@ -75,8 +77,8 @@
         sleep_ms(1_500).await;
         site.start_agent(0).expect("starts again");
         let tally = callers.finish(&site).await.expect("ends");
-        assert_promises(&tally);
-        let counts = without_lists(&tally);
+        assert_no_corruption(&tally);
+        let counts = counts_only(&tally);
         assert!(
             tally.flows_broken as f64 <= stood,
             "only flows on the dead one: {counts:?}"
@@ -99,7 +101,7 @@
         sleep_ms(3_000).await;
         site.agent(1).expect("runs").thaw().expect("thawed");
         let tally = callers.finish(&site).await.expect("ends");
-        assert_promises(&tally);
+        assert_no_corruption(&tally);
         let pauses = site
             .metric(site.agent_host(1), "pauses_total")
             .await
@@ -112,7 +114,7 @@
 fn a_fast_failing_backend_server_attracts_nothing() {
     run(async {
         let site = site(3).await;
-        site.backend_order(0, 0, "mode/fail-fast")
+        site.backend_command(0, 0, "mode/fail-fast")
             .await
             .expect("obeys");
         let callers = CallerProcess::start(&site, 0, &load(0, 12, 6)).expect("callers");
@@ -121,7 +123,7 @@
         // Ten failures to be known, those in flight meanwhile, and one probe a second.
         let met = (tally.wrong, tally.requests);
         println!("{} of {} requests met it", met.0, met.1);
-        assert!(tally.wrong <= 30, "{:?}", without_lists(&tally));
+        assert!(tally.wrong <= 30, "{:?}", counts_only(&tally));
         let host = site.agent_host(0);
         let moved = site
             .metric(host, "requests_moved_total")
@@ -135,14 +137,16 @@
 fn a_shedding_backend_server_costs_no_answer() {
     run(async {
         let site = site(3).await;
-        site.backend_order(0, 1, "mode/shed").await.expect("obeys");
+        site.backend_command(0, 1, "mode/shed")
+            .await
+            .expect("obeys");
         let callers = CallerProcess::start(&site, 0, &load(5, 12, 4)).expect("callers");
         sleep_ms(2_000).await;
-        site.backend_order(0, 1, "mode/normal")
+        site.backend_command(0, 1, "mode/normal")
             .await
             .expect("obeys");
         let tally = callers.finish(&site).await.expect("ends");
-        assert_unnoticed(&tally);
+        assert_no_visible_failure(&tally);
     });
 }
 
@@ -150,13 +154,15 @@
 fn slots_are_never_exceeded_and_stragglers_answer_their_own_caller() {
     run(async {
         let site = site(2).await;
-        site.backend_order(0, 0, "mode/slow").await.expect("obeys");
+        site.backend_command(0, 0, "mode/slow")
+            .await
+            .expect("obeys");
         let callers = CallerProcess::start(&site, 0, &load(0, 60, 4)).expect("callers");
         let tally = callers.finish(&site).await.expect("ends");
-        assert_unnoticed(&tally);
+        assert_no_visible_failure(&tally);
         for host in 0..2 {
             let counts = site
-                .backend_order(0, host, "counts")
+                .backend_command(0, host, "counts")
                 .await
                 .expect("answers");
             let counts: serde_json::Value = serde_json::from_str(&counts).expect("JSON");
@@ -172,9 +178,11 @@
 fn a_cold_backend_server_costs_no_answer() {
     run(async {
         let site = site(3).await;
-        site.backend_order(0, 2, "mode/cold").await.expect("obeys");
+        site.backend_command(0, 2, "mode/cold")
+            .await
+            .expect("obeys");
         let callers = CallerProcess::start(&site, 0, &load(5, 12, 4)).expect("callers");
-        assert_unnoticed(&callers.finish(&site).await.expect("ends"));
+        assert_no_visible_failure(&callers.finish(&site).await.expect("ends"));
     });
 }
 
@@ -182,7 +190,9 @@
 fn a_caller_that_leaves_is_cancelled_at_the_backend_server() {
     run(async {
         let site = site(1).await;
-        site.backend_order(0, 0, "mode/slow").await.expect("obeys");
+        site.backend_command(0, 0, "mode/slow")
+            .await
+            .expect("obeys");
         let mut caller = Caller::new(site.service_address(0)).await.expect("caller");
         caller.connect().await.expect("a flow");
         let empty = Bytes::new();
@@ -191,10 +201,13 @@
         assert!(left.is_err(), "the caller left before its answer");
         drop(caller);
         let cancelled = async |site: &Site| {
-            let counts = site.backend_order(0, 0, "counts").await.unwrap_or_default();
+            let counts = site
+                .backend_command(0, 0, "counts")
+                .await
+                .unwrap_or_default();
             counts.contains("\"cancelled\":1")
         };
-        site.until("the cancellation", cancelled)
+        site.wait_until("the cancellation", cancelled)
             .await
             .expect("counted");
     });
--- a/lab/tests/balancer_failures.rs
+++ b/lab/tests/balancer_failures.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{assert_unnoticed, load, run, site, sleep_ms};
+use common::{assert_no_visible_failure, load, run, site, sleep_ms};
 use endivedyke_lab::CallerProcess;
 
 #[test]
@@ -15,7 +15,7 @@
         sleep_ms(1_000).await;
         site.start_balancer(1).expect("joins");
         let tally = callers.finish(&site).await.expect("ends");
-        assert_unnoticed(&tally);
+        assert_no_visible_failure(&tally);
     });
 }
 
@@ -23,10 +23,12 @@
 fn callers_notice_no_lost_doubled_and_reordered_datagrams() {
     run(async {
         let site = site(3).await;
-        site.fabric_order("faults/30/30/100").await.expect("obeys");
+        site.fabric_command("faults/30/30/100")
+            .await
+            .expect("obeys");
         let callers = CallerProcess::start(&site, 0, &load(10, 10, 4)).expect("callers");
         let tally = callers.finish(&site).await.expect("ends");
-        assert_unnoticed(&tally);
+        assert_no_visible_failure(&tally);
     });
 }
 
@@ -47,7 +49,7 @@
         site.balancer(0).expect("runs").thaw().expect("thawed");
         let callers = CallerProcess::start(&site, 0, &load(20, 10, 3)).expect("callers");
         let tally = callers.finish(&site).await.expect("ends");
-        assert_unnoticed(&tally);
+        assert_no_visible_failure(&tally);
         let all = site.daemon_hosts();
         site.wait_revision(&all, revision)
             .await
--- a/lab/tests/balancer_restarts.rs
+++ b/lab/tests/balancer_restarts.rs
@@ -30,9 +30,9 @@
             let mut text = Vec::new();
             let path = format!("/feed/night/{EVENTS}/{PERIOD_MS}");
             let result = caller
-                .feed(&path, |piece| text.extend_from_slice(piece))
+                .read_feed(&path, |piece| text.extend_from_slice(piece))
                 .await;
-            caller.leave_flow();
+            caller.drop_flow();
             (
                 result,
                 String::from_utf8_lossy(&text).into_owned(),
--- a/lab/tests/common/mod.rs
+++ b/lab/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use std::future::Future;
 use std::time::Duration;
 
-use endivedyke_lab::{CallerLoad, Site, SiteBuilder, Tally};
+use endivedyke_lab::{CallerLoad, CallerStats, Site, SiteBuilder};
 
 const BOUNDS: &str = include_str!("../../../bounds.txt");
 
@@ -39,24 +39,24 @@
 }
 
 /// Asserts what holds in every run, whatever fails: nothing wrong, doubled or lost.
-pub fn assert_promises(tally: &Tally) {
+pub fn assert_no_corruption(tally: &CallerStats) {
     let broken = (tally.wrong, tally.doubled, tally.lost);
     assert_eq!(
         broken,
         (0, 0, 0),
         "wrong, doubled, lost in {:?}",
-        without_lists(tally)
+        counts_only(tally)
     );
 }
 
 /// Asserts that no caller noticed anything.
-pub fn assert_unnoticed(tally: &Tally) {
+pub fn assert_no_visible_failure(tally: &CallerStats) {
     assert!(tally.requests > 0);
-    assert!(tally.is_clean(), "{:?}", without_lists(tally));
+    assert!(tally.is_clean(), "{:?}", counts_only(tally));
 }
 
-pub fn without_lists(tally: &Tally) -> Tally {
-    Tally {
+pub fn counts_only(tally: &CallerStats) -> CallerStats {
+    CallerStats {
         claims: Vec::new(),
         latencies_us: Vec::new(),
         ..tally.clone()
--- a/lab/tests/hostile_peers.rs
+++ b/lab/tests/hostile_peers.rs
@@ -6,7 +6,7 @@
 use std::net::{SocketAddr, TcpStream, UdpSocket};
 use std::time::Duration;
 
-use common::{assert_unnoticed, load, run, site};
+use common::{assert_no_visible_failure, load, run, site};
 use endivedyke::{ClusterKey, Envelope, EnvelopeKey, EnvelopeKind, ServiceId};
 use endivedyke_lab::{CallerProcess, Site};
 use rand::rngs::StdRng;
@@ -75,7 +75,7 @@
         send_datagrams(&site, &mut random);
         open_links(&site, &mut random);
         let tally = callers.finish(&site).await.expect("ends");
-        assert_unnoticed(&tally);
+        assert_no_visible_failure(&tally);
         for host in site.daemon_hosts() {
             let dropped = site
                 .metric(host, "packets_dropped_total")
--- a/lab/tests/opaque_site.rs
+++ b/lab/tests/opaque_site.rs
@@ -370,8 +370,8 @@
         site.start_callers(&[site.call_plan(0, 4, 2)])
             .expect("callers");
         for _ in 0..5 {
-            site.balancer(0).expect("runs").hang_up().expect("runs");
-            site.agent(0).expect("runs").hang_up().expect("runs");
+            site.balancer(0).expect("runs").reload().expect("runs");
+            site.agent(0).expect("runs").reload().expect("runs");
             sleep_ms(100).await;
         }
         let tally = site.finish_callers().await;
--- a/lab/tests/opener_account.rs
+++ b/lab/tests/opener_summary.rs
@@ -2,12 +2,12 @@
 
 use endivedyke::parse_log;
 use endivedyke_lab::{
-    OpenerAccount, OpenerEnd, UntoldFacts, csv_of_openers, lines_dropped, table_of_openers,
+    LogDefaults, OpenerEnd, OpenerSummary, count_dropped_lines, openers_csv, openers_table,
 };
 
 const FLOW: &str = "100.64.0.7:1027>198.18.0.1:443";
 const OTHER: &str = "100.64.0.8:1030>198.18.0.1:443";
-const UNTOLD: UntoldFacts<'static> = UntoldFacts {
+const UNTOLD: LogDefaults<'static> = LogDefaults {
     slots: 2,
     zones: &["z-2"],
 };
@@ -21,10 +21,10 @@
 }
 
 /// Returns the account of lines of openers, `{}` in which stands for the flow.
-fn account_of<T>(lines: &[(u64, &str, &str)], look: impl FnOnce(&OpenerAccount<'_>) -> T) -> T {
+fn account_of<T>(lines: &[(u64, &str, &str)], look: impl FnOnce(&OpenerSummary<'_>) -> T) -> T {
     let text = collected(lines).replace("{}", FLOW);
     let parsed = parse_log("log", &text);
-    look(&OpenerAccount::of(&parsed, &UNTOLD))
+    look(&OpenerSummary::from_lines(&parsed, &UNTOLD))
 }
 
 fn end_of(lines: &[(u64, &str, &str)]) -> (OpenerEnd, String, Option<u64>, Option<bool>) {
@@ -35,7 +35,7 @@
             opener.end,
             opener.reason.to_owned(),
             opener.took_ms,
-            opener.needless,
+            opener.slot_was_free,
         )
     })
 }
@@ -241,7 +241,7 @@
         ),
     ];
     let (table, csv) = account_of(&lines, |account| {
-        (table_of_openers(account), csv_of_openers(account))
+        (openers_table(account), openers_csv(account))
     });
     let row = |start: &str| {
         let found = table.lines().find(|line| line.starts_with(start));
@@ -288,5 +288,5 @@
     let text = "1.2 a-1 event=lines_dropped count=7\n\
         1.2 a-1 time_ms=5 level=INFO part=x event=opener_taken flow=f copy=0\n\
         1.3 a-2 event=lines_dropped count=5\n";
-    assert_eq!(lines_dropped(text), 12);
+    assert_eq!(count_dropped_lines(text), 12);
 }
--- a/lab/tests/operator_client.rs
+++ b/lab/tests/operator_client.rs
@@ -8,14 +8,14 @@
 use common::{run, site, sleep_ms};
 use endivedyke::TABLE_HEADER;
 use endivedyke::opaque::ROUTES_HEADER;
-use endivedyke_lab::binary;
+use endivedyke_lab::binary_path;
 use endivedyke_lab::opaque::{OpaqueSite, OpaqueSiteBuilder};
 
 /// How often the state of all processes is asked for before one counts as silent for good.
 const STATUS_TRIES: usize = 20;
 
 fn client(arguments: &[&str]) -> Output {
-    let program = binary("endivedyke").expect("built");
+    let program = binary_path("endivedyke").expect("built");
     Command::new(program)
         .args(arguments)
         .output()
@@ -104,7 +104,7 @@
         (&["no-such-file"], 1, "no-such-file: No such file"),
     ];
     for (arguments, exit_code, shown) in cases {
-        let program = binary("endivedyke-platform-routes").expect("built");
+        let program = binary_path("endivedyke-platform-routes").expect("built");
         let output = Command::new(program).args(*arguments).output();
         let output = output.expect("runs");
         assert_eq!(output.status.code(), Some(*exit_code), "{arguments:?}");
@@ -120,7 +120,7 @@
     let settings = file(folder.path(), "bad.ini", "[process]\nhost = here\n");
     for program in ["endivedyke-balancer", "endivedyke-agent"] {
         let run = |arguments: &[&str]| {
-            let program = binary(program).expect("built");
+            let program = binary_path(program).expect("built");
             Command::new(program)
                 .args(arguments)
                 .output()
--- a/lab/tests/operators_page.rs
+++ b/lab/tests/operators_page.rs
@@ -5,14 +5,14 @@
 use std::path::Path;
 use std::process::Command;
 
-use endivedyke_lab::binary;
+use endivedyke_lab::binary_path;
 
 const PAGE: &str = include_str!("../../docs/OPERATORS.md");
 const FENCE: &str = "```console\n";
 
 /// Runs a line as an operator's shell does, in a folder, with the programs at hand.
 fn shell(line: &str, folder: &Path) -> String {
-    let program = binary("endivedyke").expect("built");
+    let program = binary_path("endivedyke").expect("built");
     let programs = program.parent().expect("a folder").display().to_string();
     let path = std::env::var("PATH").unwrap_or_default();
     let output = Command::new("sh")
--- a/lab/tests/platform_failures.rs
+++ b/lab/tests/platform_failures.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{assert_unnoticed, load, run, site, sleep_ms};
+use common::{assert_no_visible_failure, load, run, site, sleep_ms};
 use endivedyke_lab::{CallerProcess, Site};
 
 async fn revisions(site: &Site) -> Vec<u64> {
@@ -26,7 +26,7 @@
             .await
             .expect("in force");
         for mode in ["silent", "rolled-back", "silent"] {
-            site.platform_order("POST", &format!("mode/{mode}"), "")
+            site.platform_command("POST", &format!("mode/{mode}"), "")
                 .await
                 .expect("obeys");
             let callers = CallerProcess::start(&site, 0, &load(5, 5, 4)).expect("callers");
@@ -37,10 +37,10 @@
                 .await
                 .expect("the newest, from its peers");
             let tally = callers.finish(&site).await.expect("ends");
-            assert_unnoticed(&tally);
+            assert_no_visible_failure(&tally);
             assert_eq!(revisions(&site).await, vec![newest; 5], "while {mode}");
         }
-        site.platform_order("POST", "mode/normal", "")
+        site.platform_command("POST", "mode/normal", "")
             .await
             .expect("obeys");
         let next = site.set_weights(0, &[100, 100]).await.expect("published");
@@ -64,7 +64,7 @@
         site.wait_revision(&site.daemon_hosts(), newest)
             .await
             .expect("in force");
-        site.platform_order("POST", "restore", "4")
+        site.platform_command("POST", "restore", "4")
             .await
             .expect("obeys");
         let next = site.set_weights(0, &[100, 700]).await.expect("published");
@@ -78,7 +78,7 @@
             }
             behind == 0
         };
-        site.until("the edit after the return", in_force)
+        site.wait_until("the edit after the return", in_force)
             .await
             .expect("in force");
     });
@@ -112,7 +112,7 @@
             }
             rejected > 0.0
         };
-        site.until("the rejection", rejected)
+        site.wait_until("the rejection", rejected)
             .await
             .expect("counted");
         sleep_ms(1_500).await;
@@ -122,6 +122,6 @@
             "the one in force stays"
         );
         let callers = CallerProcess::start(&site, 0, &load(5, 5, 1)).expect("callers");
-        assert_unnoticed(&callers.finish(&site).await.expect("ends"));
+        assert_no_visible_failure(&callers.finish(&site).await.expect("ends"));
     });
 }
--- a/lab/tests/relay_bounds.rs
+++ b/lab/tests/relay_bounds.rs
@@ -5,31 +5,31 @@
 use common::bound;
 use endivedyke_lab::{RelayPlan, run_relay};
 
-fn plan(loss: f64, dead: f64) -> RelayPlan {
+fn plan(loss_rate: f64, dead_share: f64) -> RelayPlan {
     RelayPlan {
         daemons: 1_200,
-        loss,
-        dead,
-        cut: false,
+        loss_rate,
+        dead_share,
+        is_partitioned: false,
         seed: 1,
     }
 }
 
 #[test]
 fn a_change_is_everywhere_in_time() {
-    for (name, loss, dead) in [
+    for (name, loss_rate, dead_share) in [
         ("calm", 0.0, 0.0),
         ("lossy", 0.2, 0.0),
         ("dying", 0.05, 0.2),
     ] {
-        let outcome = run_relay(&plan(loss, dead));
+        let outcome = run_relay(&plan(loss_rate, dead_share));
         println!("{name}: {outcome:?}");
         assert!(
             outcome.all_ms as f64 <= bound(&format!("relay_all_ms_{name}")),
             "{outcome:?}"
         );
         assert!(
-            outcome.tells_each <= bound("relay_tells_each"),
+            outcome.pushes_per_daemon <= bound("relay_tells_each"),
             "{outcome:?}"
         );
         let reads = outcome.platform_reads as f64;
@@ -40,11 +40,11 @@
 #[test]
 fn a_cut_costs_nobody_the_change() {
     // Each region has its own readers, so that a cut between regions delays nobody.
-    let cut = RelayPlan {
-        cut: true,
+    let partitioned = RelayPlan {
+        is_partitioned: true,
         ..plan(0.02, 0.02)
     };
-    let outcome = run_relay(&cut);
+    let outcome = run_relay(&partitioned);
     assert!(
         outcome.all_ms as f64 <= bound("relay_all_ms_cut"),
         "{outcome:?}"
--- a/lab/tests/value_spread.rs
+++ b/lab/tests/value_spread.rs
@@ -1,7 +1,7 @@
 //! How long changes take to reach all processes, from log lines as they write them.
 
 use endivedyke::parse_log;
-use endivedyke_lab::{ValueSpread, table_of_spreads, value_spreads};
+use endivedyke_lab::{ValueSpread, spreads_table, value_spreads};
 
 /// Writes lines as a collector does: the time and the name of the host before each.
 fn spreads(lines: &[(u64, &str, &str)]) -> Vec<ValueSpread> {
@@ -37,7 +37,7 @@
     assert_eq!(spread.delays_ms, [0, 250, 400]);
     assert_eq!(spread.percentile_ms(50), Some(250));
     assert_eq!(spread.percentile_ms(99), Some(400));
-    assert_eq!(spread.untold, 0);
+    assert_eq!(spread.unreported, 0);
 }
 
 #[test]
@@ -54,13 +54,13 @@
         (2_100, "a-4", CHANGE),
     ]);
     assert_eq!(spreads[0].delays_ms, [0]);
-    assert_eq!(spreads[0].untold, 1);
-    let table = table_of_spreads(&spreads);
+    assert_eq!(spreads[0].unreported, 1);
+    let table = spreads_table(&spreads);
     assert!(table.contains("9         1          1"), "{table}");
 }
 
 #[test]
 fn lines_without_a_change_make_an_empty_table() {
     assert!(spreads(&[(0, "a-1", START), (100, "a-1", FIRST)]).is_empty());
-    assert_eq!(table_of_spreads(&[]).lines().count(), 1);
+    assert_eq!(spreads_table(&[]).lines().count(), 1);
 }
