--- a/src/opaque/flow_agent.rs
+++ b/src/opaque/flow_agent.rs
@@ -23,8 +23,8 @@
 use crate::code::Code;
 use crate::config::revision::Revision;
 use crate::config::service_id::ServiceId;
-use crate::decisions::service_time::SlotTime;
-use crate::decisions::stall::StallWatch;
+use crate::decisions::service_time::ServiceTimeEstimator;
+use crate::decisions::stall::StallDetector;
 use crate::decisions::suspicion::Suspicion;
 use crate::decisions::wait_queue::WaitQueue;
 use crate::error::Result;
@@ -88,7 +88,7 @@
     recent_load: MeanLoad,
     /// The load over ten seconds, by which flows are balanced between agents.
     steady_load: MeanLoad,
-    slot_time: SlotTime,
+    service_time: ServiceTimeEstimator,
     /// The fewest busy requests at which the backend server refused one for lack of room, and when
     /// it last did.
     shed_at: Option<(u32, u64)>,
@@ -98,7 +98,7 @@
     /// Whether the backend server was failing at the last outcome, so that each change is logged
     /// once.
     was_failing: bool,
-    stall_watch: StallWatch<FlowKey>,
+    stall_watch: StallDetector<FlowKey>,
     cold_rate: ColdRateLimiter,
     /// Since when the backend server may be cold although its entry does not show it yet.
     possibly_cold_since_ms: Option<u64>,
@@ -146,12 +146,12 @@
             flows: FlowTable::new(metrics, identity.flow_lifetime_ms),
             recent_load: MeanLoad::new(RECENT_SPAN_MS),
             steady_load: MeanLoad::new(STEADY_SPAN_MS),
-            slot_time: SlotTime::default(),
+            service_time: ServiceTimeEstimator::default(),
             shed_at: None,
             wait_queue: WaitQueue::default(),
             outcomes: RecentOutcomes::default(),
             was_failing: false,
-            stall_watch: StallWatch::new(),
+            stall_watch: StallDetector::new(),
             cold_rate: ColdRateLimiter::default(),
             possibly_cold_since_ms: None,
             was_evacuated: false,
--- a/src/opaque/flow_agent/backend_packets.rs
+++ b/src/opaque/flow_agent/backend_packets.rs
@@ -65,7 +65,7 @@
             // A late copy of an opener whose flow has already opened, here or elsewhere.
             _ if segment.opens => {}
             state => {
-                self.stall_watch.withdrawn(key);
+                self.stall_watch.remove_request(key);
                 let lost = self.flows.update(&key, context.now_ms, |flow| {
                     flow.state = FlowState::Absent;
                     flow.running.take()
@@ -171,13 +171,13 @@
         if has_new_data && !is_error {
             self.record_progress(key, now_ms);
         } else if answered.is_some() {
-            self.stall_watch.withdrawn(key);
+            self.stall_watch.remove_request(key);
         }
         match answered {
             Some((running, None)) => {
                 if !is_error {
                     // The time until a refusal says nothing about the service time.
-                    self.slot_time.answered(now_ms);
+                    self.service_time.record_answer(now_ms);
                 }
                 self.update_slot_time(context);
                 self.record_answer(context, &key, &running, status);
--- a/src/opaque/flow_agent/backend_process.rs
+++ b/src/opaque/flow_agent/backend_process.rs
@@ -2,7 +2,7 @@
 //! or fails requests.
 
 use crate::code::Code;
-use crate::decisions::service_time::SlotTime;
+use crate::decisions::service_time::ServiceTimeEstimator;
 use crate::opaque::flow_agent::{AgentContext, FlowAgent};
 use crate::opaque::flows::orphaned_flows::OrphanedFlows;
 use crate::opaque::openers::recent_outcomes::RecentOutcomes;
@@ -92,7 +92,7 @@
         // All flows up to now belong to the process that has ended.
         let orphaned = self.flows.take_orphaned(u64::MAX, context.now_ms);
         self.pending_flows.clear();
-        self.stall_watch.forget();
+        self.stall_watch.reset();
         self.forget_slot_times();
         log::info!(
             "event=backend_ended flows={} openers={} last_packet_ms_ago={} revision={}",
@@ -169,7 +169,7 @@
     fn forget_outcomes(&mut self) {
         self.outcomes = RecentOutcomes::default();
         self.was_failing = false;
-        self.stall_watch.forget();
+        self.stall_watch.reset();
         self.forget_slot_times();
         self.silent_since_ms = None;
     }
@@ -177,7 +177,7 @@
     /// Clears the measured service time and shed limit, after a stall or when the process has
     /// ended.
     pub(super) fn forget_slot_times(&mut self) {
-        self.slot_time = SlotTime::default();
+        self.service_time = ServiceTimeEstimator::default();
         self.shed_at = None;
     }
 
--- a/src/opaque/flow_agent/declines.rs
+++ b/src/opaque/flow_agent/declines.rs
@@ -8,7 +8,7 @@
 
 use std::net::Ipv4Addr;
 
-use crate::decisions::offers::TAKES_NONE_MS;
+use crate::decisions::offers::TAKES_NONE_WAIT_MS;
 use crate::opaque::flow_agent::{AgentContext, FlowAgent, send_to_peer};
 use crate::opaque::flows::flow::PendingOpener;
 use crate::opaque::packets::action::Action;
@@ -84,7 +84,7 @@
         let wait_ms = match reason {
             DeclineReason::AboveMean => ABOVE_MEAN_WAIT_MS,
             DeclineReason::Busy => self.expected_wait_ms(context),
-            DeclineReason::TakesNone => TAKES_NONE_MS,
+            DeclineReason::TakesNone => TAKES_NONE_WAIT_MS,
         };
         log::info!(
             "event=opener_declined flow={key} reason={reason:?} wait_ms={wait_ms} busy={} slots={} load_permille={} mean_permille={} revision={}",
--- a/src/opaque/flow_agent/held_back_requests.rs
+++ b/src/opaque/flow_agent/held_back_requests.rs
@@ -66,7 +66,7 @@
         };
         self.metrics.requests_held_back.inc();
         if context.directory.has_deadline(key.called) {
-            self.stall_watch.came_in(context.now_ms);
+            self.stall_watch.record_arrival(context.now_ms);
         }
         let work = QueuedWork {
             key,
@@ -137,11 +137,7 @@
         self.flows.update(key, context.now_ms, |flow| {
             flow.has_caller_left |= caller_left;
             if flow.state == FlowState::Open && flow.running.is_none() {
-                flow.running = Some(RunningRequest::new(
-                    id.as_deref(),
-                    busy_timeout_ms,
-                    context.now_ms,
-                ));
+ flow.running = Some(RunningRequest::new(id.as_deref(), busy_timeout_ms, context.now_ms));
             }
         });
         for segment in &segments {
--- a/src/opaque/flow_agent/stall.rs
+++ b/src/opaque/flow_agent/stall.rs
@@ -34,13 +34,13 @@
     }
 
     /// Checks whether the backend server is stalled, and resets idle flows if so; to be called
-    /// every [`crate::decisions::stall::LOOK_MS`].
+    /// every [`crate::decisions::stall::STALL_CHECK_INTERVAL_MS`].
     pub fn check_for_stall(&mut self, context: &AgentContext<'_>) -> Vec<Action> {
         // A backend server that no table lists gets no openers, and its flows end soon.
         let Some(slots) = self.backend_slots(context) else {
             return Vec::new();
         };
-        if let Some(stall) = self.stall_watch.look(slots, context.now_ms) {
+        if let Some(stall) = self.stall_watch.check(slots, context.now_ms) {
             self.metrics.backend_stalls.inc();
             log::warn!(
                 "event=backend_stalled silent_ms={} waiting={} slots={slots} open={} revision={}",
@@ -93,16 +93,17 @@
         if is_new_data {
             let has_deadline = context.directory.has_deadline(key.called);
             let is_whole = has_deadline && !may_continue(segment);
-            self.stall_watch.handed_over(key, is_whole, context.now_ms);
+            self.stall_watch
+                .record_request(key, is_whole, context.now_ms);
         }
         if segment.ends || segment.resets {
-            self.stall_watch.withdrawn(key);
+            self.stall_watch.remove_request(key);
         }
     }
 
     /// Records that the backend server served a request, or a part of its answer.
     pub(super) fn record_progress(&mut self, key: FlowKey, now_ms: u64) {
-        if let Some(stalled_ms) = self.stall_watch.served(key, now_ms) {
+        if let Some(stalled_ms) = self.stall_watch.record_answer(key, now_ms) {
             log::warn!(
                 "event=backend_recovered stalled_ms={stalled_ms} busy={}",
                 self.flows.busy_requests()
@@ -136,6 +137,6 @@
     /// stall allows now.
     pub(super) fn has_reached_ramp_limit(&self, limit: Option<f64>, now_ms: u64) -> bool {
         let busy = f64::from(self.flows.busy_requests());
-        limit.is_some_and(|limit| busy >= self.stall_watch.room(limit, now_ms))
+        limit.is_some_and(|limit| busy >= self.stall_watch.ramped_limit(limit, now_ms))
     }
 }
--- a/src/opaque/flow_agent/waiting.rs
+++ b/src/opaque/flow_agent/waiting.rs
@@ -7,8 +7,8 @@
 use crate::code::Code;
 use crate::config::deadlines::{Deadline, UNANSWERED_ATTEMPT_MS};
 use crate::decisions::service_time::wait_ms;
-use crate::decisions::wait_queue::{Pace, WaitQueue, Waiting};
-use crate::decisions::waiting::Prospect;
+use crate::decisions::wait_estimate::WaitEstimate;
+use crate::decisions::wait_queue::{QueueParams, QueuedItem, WaitQueue};
 use crate::opaque::flow_agent::{AgentContext, FlowAgent, send_to_peer};
 use crate::opaque::flows::flow::PendingOpener;
 use crate::opaque::packets::action::Action;
@@ -57,8 +57,8 @@
     /// now on.
     pub(super) fn update_slot_time(&mut self, context: &AgentContext<'_>) {
         let slots = self.backend_slots(context).unwrap_or_default();
-        self.slot_time
-            .changed(self.flows.busy_requests(), slots, context.now_ms);
+        self.service_time
+            .set_occupied(self.flows.busy_requests(), slots, context.now_ms);
     }
 
     /// Returns whether the backend server may refuse a request for lack of room: the route has a
@@ -74,7 +74,9 @@
         let Some(slots) = self.backend_slots(context) else {
             return 0;
         };
-        let queued_ahead = self.wait_queue.in_time(&self.pace(slots), context.now_ms);
+        let queued_ahead = self
+            .wait_queue
+            .count_in_time(&self.queue_params(slots), context.now_ms);
         self.wait_behind_ms(context, slots, queued_ahead)
             .min(MAX_REPORTED_WAIT_MS) as u16
     }
@@ -84,7 +86,7 @@
     fn wait_behind_ms(&mut self, context: &AgentContext<'_>, slots: u32, queued_ahead: u32) -> u64 {
         let total = self.flows.fresh_busy_requests(context.now_ms) + queued_ahead;
         let ahead = (total + 1).saturating_sub(slots);
-        wait_ms(ahead, self.slot_time.service_ms(), slots)
+        wait_ms(ahead, self.service_time.service_ms(), slots)
     }
 
     /// Returns the number of busy requests from which the backend server is handed nothing that can
@@ -96,7 +98,7 @@
         let least_ms = self.min_objective_ms();
         let objective_ms = least_ms.map_or(objective_ms, |least_ms| least_ms.min(objective_ms));
         let queued_ms = BACKEND_QUEUE_SHARE * f64::from(objective_ms);
-        let by_objective = f64::from(slots) * (1.0 + queued_ms / self.slot_time.service_ms());
+        let by_objective = f64::from(slots) * (1.0 + queued_ms / self.service_time.service_ms());
         let refused_at = self.recent_shed_at(now_ms).map_or(f64::INFINITY, f64::from);
         by_objective.min(refused_at).max(f64::from(slots))
     }
@@ -149,15 +151,15 @@
     ) -> Result<(), PendingOpener> {
         let balancer = opening.balancer;
         let waiting = queued_opener(context, key, &opening, deadline);
-        let prospect = self.wait_prospect(context, &waiting, &opening, deadline);
-        if !prospect.waits() || !self.has_queue_room(context, deadline) {
+        let wait_estimate = self.wait_estimate(context, &waiting, &opening, deadline);
+        if !wait_estimate.should_wait() || !self.has_queue_room(context, deadline) {
             return Err(opening);
         }
         self.metrics.openers_queued.inc();
         log::info!(
             "event=opener_queued flow={key} behind={} wait_ms={} due_ms={} busy={} slots={} revision={}",
             self.wait_queue.len(),
-            prospect.wait_ms,
+            wait_estimate.wait_ms,
             waiting.due_ms.saturating_sub(context.now_ms),
             self.flows.busy_requests(),
             self.backend_slots(context).unwrap_or_default(),
@@ -177,29 +179,31 @@
     /// Returns the maximum length of the queue: as many as can be served before a caller's timeout.
     fn max_queue_length(&self, context: &AgentContext<'_>, deadline: &Deadline) -> usize {
         let slots = self.backend_slots(context).unwrap_or_default();
-        let served = f64::from(deadline.timeout_ms) / self.slot_time.service_ms();
+        let served = f64::from(deadline.timeout_ms) / self.service_time.service_ms();
         (served * f64::from(slots)).ceil() as usize
     }
 
     /// Returns how long an opener would wait here, against its age and its deadline.
-    fn wait_prospect(
+    fn wait_estimate(
         &mut self,
         context: &AgentContext<'_>,
-        waiting: &Waiting<QueuedWork>,
+        waiting: &QueuedItem<QueuedWork>,
         opening: &PendingOpener,
         deadline: &Deadline,
-    ) -> Prospect {
+    ) -> WaitEstimate {
         let slots = self.backend_slots(context).unwrap_or_default();
-        let service_ms = self.slot_time.service_ms();
-        let pace = Pace {
+        let service_ms = self.service_time.service_ms();
+        let params = QueueParams {
             service_ms,
             slots,
             objective_ms: deadline.objective_ms,
         };
-        let queued_ahead = self.wait_queue.ahead_of(waiting, &pace, context.now_ms);
+        let queued_ahead = self
+            .wait_queue
+            .count_ahead_of(waiting, &params, context.now_ms);
         let wait_ms = self.wait_behind_ms(context, slots, queued_ahead);
         let oldest_ms = self.wait_queue.iter().map(|waiting| waiting.since_ms).min();
-        Prospect {
+        WaitEstimate {
             age_ms: opening.age_ms(),
             attempt_age_ms: opening.copy_age_ms(),
             wait_ms: wait_ms.max(self.cold_wait_ms(context)),
@@ -214,7 +218,7 @@
     /// server, in milliseconds; 0 if the backend server is warm.
     fn cold_wait_ms(&self, context: &AgentContext<'_>) -> u64 {
         let is_opener =
-            |waiting: &&Waiting<QueuedWork>| matches!(waiting.item.kind, QueuedKind::Opener(_));
+            |waiting: &&QueuedItem<QueuedWork>| matches!(waiting.item.kind, QueuedKind::Opener(_));
         let openers_ahead = self.wait_queue.iter().filter(is_opener).count();
         let flows_per_s = self.cold_flows_per_s(context);
         flows_per_s.map_or(0, |flows_per_s| {
@@ -228,7 +232,7 @@
     pub(super) fn is_stuck(&mut self, context: &AgentContext<'_>) -> bool {
         self.update_slot_time(context);
         let is_silent = self.silent_since_ms.is_some();
-        is_silent || self.slot_time.is_stuck() || self.is_stalled(context.now_ms)
+        is_silent || self.service_time.is_stuck() || self.is_stalled(context.now_ms)
     }
 
     /// Hands queued openers and requests over while the backend server has room, and ends waits
@@ -246,11 +250,11 @@
         }
         let slots = self.backend_slots(context).unwrap_or_default();
         while self.has_backend_room(context, slots) {
-            let pace = self.pace(slots);
+            let params = self.queue_params(slots);
             let may_open = self.has_cold_rate_room(context);
             let may_go =
                 |work: &QueuedWork| may_open || matches!(work.kind, QueuedKind::Request(_));
-            let Some(next) = self.wait_queue.pop_if(&pace, context.now_ms, may_go) else {
+            let Some(next) = self.wait_queue.pop_if(&params, context.now_ms, may_go) else {
                 break;
             };
             self.hand_over_dequeued(context, next, actions);
@@ -262,7 +266,7 @@
 
     /// Returns whether the backend server may be handed the next entry of the queue.
     fn has_backend_room(&mut self, context: &AgentContext<'_>, slots: u32) -> bool {
-        let objective_ms = self.pace(slots).objective_ms;
+        let objective_ms = self.queue_params(slots).objective_ms;
         let busy = f64::from(self.flows.fresh_busy_requests(context.now_ms));
         busy < self.max_handed_over(slots, objective_ms, context.now_ms)
     }
@@ -272,7 +276,7 @@
     fn hand_over_dequeued(
         &mut self,
         context: &AgentContext<'_>,
-        waiting: Waiting<QueuedWork>,
+        waiting: QueuedItem<QueuedWork>,
         actions: &mut Vec<Action>,
     ) {
         let QueuedWork { key, kind } = waiting.item;
@@ -294,7 +298,7 @@
                     "event=opener_dequeued flow={key} waited_ms={waited_ms} busy={} slots={} service_ms={:.1}",
                     self.flows.busy_requests(),
                     self.backend_slots(context).unwrap_or_default(),
-                    self.slot_time.service_ms()
+                    self.service_time.service_ms()
                 );
                 opening.since_ms = context.now_ms;
                 let handed_on = opening.clone();
@@ -310,9 +314,9 @@
         }
     }
 
-    fn pace(&self, slots: u32) -> Pace {
-        Pace {
-            service_ms: self.slot_time.service_ms(),
+    fn queue_params(&self, slots: u32) -> QueueParams {
+        QueueParams {
+            service_ms: self.service_time.service_ms(),
             slots,
             objective_ms: self.min_objective_ms().unwrap_or_default(),
         }
@@ -346,7 +350,7 @@
     /// whose callers have left: a caller that is still there sends the request again. A request
     /// without a deadline of its route has waited long enough and is handed over.
     fn end_expired(&mut self, context: &AgentContext<'_>, actions: &mut Vec<Action>) {
-        let is_expired = |waiting: &Waiting<QueuedWork>| waiting.deadline_ms <= context.now_ms;
+        let is_expired = |waiting: &QueuedItem<QueuedWork>| waiting.deadline_ms <= context.now_ms;
         for waiting in self.wait_queue.take_if(is_expired) {
             let QueuedWork { key, kind } = waiting.item;
             match kind {
@@ -412,7 +416,7 @@
     key: &FlowKey,
     opening: &PendingOpener,
     deadline: &Deadline,
-) -> Waiting<QueuedWork> {
+) -> QueuedItem<QueuedWork> {
     let age_ms = opening.age_ms();
     let opens_ms = u64::from(UNANSWERED_ATTEMPT_MS).saturating_sub(opening.copy_age_ms());
     let left_ms = u64::from(deadline.timeout_ms).saturating_sub(age_ms);
@@ -432,10 +436,10 @@
     age_ms: u64,
     left_ms: u64,
     deadline: &Deadline,
-) -> Waiting<QueuedWork> {
+) -> QueuedItem<QueuedWork> {
     let route = context.directory.routes().get(work.key.called);
     let objective_ms = u64::from(deadline.objective_ms).saturating_sub(age_ms);
-    Waiting {
+    QueuedItem {
         caller: u64::from(work.key.caller.ip().to_bits()),
         priority: route.map_or(0, |route| route.priority),
         since_ms: context.now_ms,
--- a/src/opaque/flows/lookup.rs
+++ b/src/opaque/flows/lookup.rs
@@ -101,7 +101,8 @@
         }
     }
 
-    /// Starts a lookup, or updates the pending one with the newer packet. Returns the agents to query now.
+    /// Starts a lookup and returns the agents to query now, or updates a pending lookup with the newer
+    /// packet.
     ///
     /// On large sites only `likely_holders` are queried at first, and the others if none of these
     /// holds the flow.
@@ -209,7 +210,9 @@
         LookupOutcome::Pending
     }
 
-    /// Returns the agents to query now, each with the packet to send, and gives up lookups that are too old.
+    /// Returns the agents to query now, each with the packet to send.
+    ///
+    /// Gives up lookups that are too old.
     pub fn due_queries(&mut self, directory: &Directory, now_ms: u64) -> Vec<(Ipv4Addr, Vec<u8>)> {
         let Some(own_host) = self.own_host else {
             return Vec::new();
@@ -282,7 +285,7 @@
     }
     let mut others = directory.current_hosts().to_vec();
     others.retain(|host| *host != own_host);
-    let mut order = placement::first_hosts(others, lookup.flow.hash(), MAX_QUERIED);
+    let mut order = placement::top_ranked_hosts(others, lookup.flow.hash(), MAX_QUERIED);
     let is_unanswered = |host: &Ipv4Addr| hosts.binary_search(host).is_ok();
     if order[..LARGE_SITE_BATCH].iter().any(is_unanswered) {
         order.truncate(LARGE_SITE_BATCH);
--- a/src/opaque/openers/opener_order.rs
+++ b/src/opaque/openers/opener_order.rs
@@ -6,7 +6,8 @@
 use crate::opaque::flow_agent::AgentContext;
 use crate::opaque::packets::segment::FlowKey;
 
-/// Returns the agent after `own` in the order of a flow, or `None` after `max_hops` agents or after all.
+/// Returns the agent after `own` in the order of a flow, or `None` if the opener has passed `max_hops`
+/// agents or all of them.
 ///
 /// All agents with the same table follow the same circular order, so that the opener needs no list of
 /// the agents that have passed it on.
@@ -41,7 +42,7 @@
     is_eligible: impl Fn(Ipv4Addr) -> bool,
 ) -> Option<Ipv4Addr> {
     let table = context.directory.table_for_flow(key)?;
-    let order = placement::ranked(table, key.hash(), |row| {
+    let order = placement::rank_targets(table, key.hash(), |row| {
         let trusted = !context.suspicion.is_suspected(row.host, context.now_ms);
         row.host == own || (row.weight > 0 && trusted && is_eligible(row.host))
     });
@@ -66,6 +67,6 @@
     let Some(table) = context.directory.table_for_flow(key) else {
         return Vec::new();
     };
-    let order = placement::ranked_by_slots(table, key.hash(), |row| row.host != own);
+    let order = placement::rank_targets_by_slots(table, key.hash(), |row| row.host != own);
     order.iter().take(count).map(|row| row.host).collect()
 }
--- a/src/quic/health.rs
+++ b/src/quic/health.rs
@@ -1,6 +1,6 @@
 //! What the outcomes of requests say about a backend server, whose own word may mislead.
 
-use crate::decisions::load_board::FULL_SHARE_PERMILLE;
+use crate::decisions::peer_loads::FULL_SHARE_PERMILLE;
 
 const WEIGHT_OF_NEW: f64 = 0.1;
 const FAILING_RATE: f64 = 0.5;
@@ -22,7 +22,7 @@
 
 impl Health {
     /// Takes the outcome of a request that ran, or of an attempt to connect.
-    pub fn outcome(&mut self, succeeded: bool) {
+    pub fn record_outcome(&mut self, succeeded: bool) {
         let failed = if succeeded { 0.0 } else { 1.0 };
         self.failure_rate += (failed - self.failure_rate) * WEIGHT_OF_NEW;
     }
@@ -40,7 +40,7 @@
     }
 
     /// Says whether a failing target may be tried now, and counts it as tried.
-    pub fn take_probe(&mut self, now_ms: u64) -> bool {
+    pub fn try_start_probe(&mut self, now_ms: u64) -> bool {
         let due = now_ms >= self.last_probe_ms + PROBE_MS;
         if due {
             self.last_probe_ms = now_ms;
--- a/src/quic/repeatable.rs
+++ b/src/quic/repeatable.rs
@@ -54,10 +54,14 @@
 /// Chooses where a request should run first.
 pub(crate) fn place(context: &RequestContext<'_>) -> Place {
     let mut health = context.target.health.borrow_mut();
-    if health.is_failing() && !health.take_probe(context.agent.control.now_ms()) {
+    if health.is_failing() && !health.try_start_probe(context.agent.control.now_ms()) {
         return Place::PeerOnly;
     }
-    let moves = context.target.move_share.borrow().moves(&mut rand::rng());
+    let moves = context
+        .target
+        .moved_fraction
+        .borrow()
+        .should_move(&mut rand::rng());
     if context.target.slots.has_free() && !moves {
         return Place::Here;
     }
@@ -103,7 +107,7 @@
     outcome: Outcome,
     whole: Option<&Bytes>,
 ) -> Answer {
-    if context.target.budget.borrow_mut().withdraw()
+    if context.target.budget.borrow_mut().try_withdraw()
         && let Some(answer) = try_move(context, whole).await
     {
         return answer;
@@ -128,7 +132,7 @@
     match backend::send(context.target.backend.get(), request).await {
         Ok(response) => streamed(response, None),
         Err(failure) => {
-            context.target.health.borrow_mut().outcome(false);
+            context.target.health.borrow_mut().record_outcome(false);
             let code = match failure {
                 BackendFailure::NotHandedOver => Code::BackendUnreachable,
                 BackendFailure::Lost => Code::OutcomeUnknown,
--- a/tests/opaque/stalls.rs
+++ b/tests/opaque/stalls.rs
@@ -1,7 +1,7 @@
 //! Stalls: the backend server takes requests and serves none.
 
 use endivedyke::opaque::{Action, FlowKey, Message, MessageKind, parse_deadlines};
-use endivedyke::{LOOK_MS, STALL_PROBE_MS, STALL_RAMP_MS};
+use endivedyke::{RECOVERY_RAMP_MS, STALL_CHECK_INTERVAL_MS, STALL_PROBE_TIMEOUT_MS};
 
 use crate::builder::{
     ACK, AgentUnderTest, BALANCER, CALLED, FIN, PacketSpec, RST, acceptance, bounced, flow,
@@ -125,7 +125,7 @@
             // The request is held back at the agent, and the caller leaves.
             caller.send(agent, RST, 0);
         }
-        agent.now_ms += LOOK_MS / 2;
+        agent.now_ms += STALL_CHECK_INTERVAL_MS / 2;
         reset.extend(resets(&agent.check_for_stall()));
     }
     reset
@@ -153,7 +153,7 @@
 /// Stalls the backend server until the agent resets the first flows, and returns these.
 fn stall_until_first_reset(agent: &mut AgentUnderTest) -> Vec<FlowKey> {
     start_hanging_requests(agent);
-    let mut resets = (1_000..1_100).map(|port| pass_time(agent, LOOK_MS / 2, port));
+    let mut resets = (1_000..1_100).map(|port| pass_time(agent, STALL_CHECK_INTERVAL_MS / 2, port));
     resets.find(|reset| !reset.is_empty()).expect("a stall")
 }
 
@@ -275,7 +275,7 @@
             taken.push(port);
         }
     }
-    let most = 2_000 / STALL_PROBE_MS as usize;
+    let most = 2_000 / STALL_PROBE_TIMEOUT_MS as usize;
     assert!((1..=most).contains(&taken.len()), "{}", taken.len());
 }
 
@@ -304,7 +304,7 @@
         let mut caller = caller_of_known_flow(&mut agent, port);
         caller.request(&mut agent);
         hung.push(caller);
-        agent.now_ms += LOOK_MS / 2;
+        agent.now_ms += STALL_CHECK_INTERVAL_MS / 2;
         agent.check_for_stall();
     }
     for caller in &mut hung {
@@ -313,7 +313,7 @@
     }
     let end_ms = agent.now_ms;
     let mut ports = 5_000..;
-    let steps = [0, STALL_RAMP_MS / 2, STALL_RAMP_MS].map(|passed_ms| {
+    let steps = [0, RECOVERY_RAMP_MS / 2, RECOVERY_RAMP_MS].map(|passed_ms| {
         agent.now_ms = end_ms + passed_ms;
         for port in ports.by_ref().take(20) {
             agent.deliver(&opener(&flow(port), 0));
@@ -343,7 +343,7 @@
         let answer = caller.answer(ANSWER_BYTES);
         agent.backend(answer);
     }
-    agent.now_ms += STALL_RAMP_MS;
+    agent.now_ms += RECOVERY_RAMP_MS;
     agent.look_at_load();
     let mut message = Message::new(MessageKind::Deliver);
     message.host = BALANCER;
@@ -368,7 +368,7 @@
         };
         caller.request(&mut agent);
         agent.backend(bounced(from_caller(&caller.key, spec)));
-        agent.now_ms += LOOK_MS / 2;
+        agent.now_ms += STALL_CHECK_INTERVAL_MS / 2;
         reset.extend(resets(&agent.check_for_stall()));
     }
     assert!(reset.is_empty());
