--- a/lab/src/opaque/backend.rs
+++ b/lab/src/opaque/backend.rs
@@ -10,58 +10,64 @@
 use endivedyke::Result;
 
 use crate::opaque::flow_endpoint::FlowEndpoint;
-use crate::opaque::packet::{ACK, BOUNCED, FIN, Packet, RST, Received, SYN};
+use crate::opaque::packet::{ACK, BOUNCED, DecodedPacket, FIN, Packet, RST, SYN};
 
-const TICK: Duration = Duration::from_millis(2);
+/// The interval at which a backend server receives packets, works and sends.
+const STEP_INTERVAL: Duration = Duration::from_millis(2);
 const MAX_PACKET_BYTES: usize = 2_048;
-/// After how many repeats a server gives a flow up.
-const MAX_REPEATS: u32 = 8;
+/// The number of retransmissions without an acknowledgement after which a flow is dropped.
+const MAX_RETRANSMISSIONS: u32 = 8;
 
-/// What a backend server did, for whoever judges the run.
+/// What a backend server did, for the checks of a run.
 #[derive(Debug, Default, Clone)]
 pub(crate) struct BackendJournal {
     /// The ids of all requests that it ran, in order.
-    pub(crate) ran: Vec<String>,
-    /// How many openers of new flows it took.
-    pub(crate) opened: usize,
-    /// Packets that nobody wrote so.
-    pub(crate) forged: u64,
-    /// Openers for an address of another service.
-    pub(crate) foreign: u64,
-    /// Packets that it returned.
-    pub(crate) returned: u64,
+    pub(crate) executed_ids: Vec<String>,
+    /// The number of flows that openers asked it to open; copies of an opener do not count.
+    pub(crate) openers: usize,
+    /// The number of malformed or changed packets.
+    pub(crate) invalid_packets: u64,
+    /// The number of openers to an address of another service.
+    pub(crate) misrouted_openers: u64,
+    /// The number of packets that it returned because it did not hold their flow.
+    pub(crate) returned_packets: u64,
 }
 
-/// The flows that backend servers hold open, by caller and called address, for whoever judges resets.
+/// The open flows of all backend servers, by caller and called address. With them, callers detect
+/// resets of flows that are still held.
 pub(crate) type OpenFlows = Rc<RefCell<Vec<(SocketAddrV4, SocketAddrV4)>>>;
 
 /// The connections that a backend server accepted.
 pub(crate) type Connections = Rc<RefCell<Vec<TcpStream>>>;
 
-/// Settings of a backend server.
+/// The settings of a backend server.
 #[derive(Debug, Clone)]
 pub(crate) struct BackendSpec {
     pub(crate) service: String,
     pub(crate) address: SocketAddrV4,
     pub(crate) outbound: SocketAddrV4,
-    /// The addresses whose flows are this service's.
+    /// The addresses that callers call for this service.
     pub(crate) called: Vec<SocketAddrV4>,
+    /// The number of requests that it runs at once.
     pub(crate) slots: usize,
+    /// The number of requests that may wait for a slot; more are refused.
     pub(crate) queue: usize,
+    /// The duration of a request, in milliseconds.
     pub(crate) work_ms: u64,
 }
 
-/// How a backend server works on requests.
+/// How a backend server processes requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Pace {
-    /// As its settings say.
-    Usual,
+pub(crate) enum WorkMode {
+    /// Each request takes the duration of the settings.
+    Normal,
     /// Each request takes this many times as long.
     Slow(u64),
-    /// It accepts connections, flows and requests, and neither begins nor answers any.
+    /// Connections, flows and requests are accepted, but no request is run or answered.
     Hanging,
 }
 
+/// A flow whose opener was answered, but whose caller has not yet confirmed the answer.
 struct HalfOpen {
     caller: SocketAddrV4,
     called: SocketAddrV4,
@@ -73,13 +79,13 @@
     caller: SocketAddrV4,
     called: SocketAddrV4,
     end: FlowEndpoint,
-    work: Option<Work>,
+    request: Option<ServerRequest>,
 }
 
-struct Work {
+struct ServerRequest {
     id: String,
-    /// How many requests had come before it.
-    turn: u64,
+    /// The number of requests that arrived before it.
+    arrival_number: u64,
     started_ms: Option<u64>,
 }
 
@@ -89,12 +95,12 @@
     started: Instant,
     half_open: Vec<HalfOpen>,
     flows: Vec<ServerFlow>,
-    /// Flows that have ended here, whose last packets still get an answer.
+    /// Flows that have ended, whose late packets are still answered.
     ended: Vec<(SocketAddrV4, SocketAddrV4)>,
     next_sequence: u32,
-    next_turn: u64,
-    draining: bool,
-    pace: Pace,
+    next_arrival_number: u64,
+    is_draining: bool,
+    work_mode: WorkMode,
     journal: Rc<RefCell<BackendJournal>>,
     open_flows: OpenFlows,
 }
@@ -108,7 +114,7 @@
     }
 }
 
-/// A running backend server; it ends, and its flows with it, when this is dropped.
+/// A running backend server. Dropping the handle ends the server and its flows.
 pub(crate) struct BackendHandle {
     server: Rc<RefCell<Server>>,
     pub(crate) spec: BackendSpec,
@@ -121,7 +127,7 @@
 }
 
 impl BackendHandle {
-    /// Starts a new lifetime at the address of the settings, under an id.
+    /// Starts a new lifetime of a backend server under an id, at the address of the settings.
     pub(crate) async fn start(
         id: &str,
         spec: &BackendSpec,
@@ -138,9 +144,9 @@
             flows: Vec::new(),
             ended: Vec::new(),
             next_sequence: rand::random(),
-            next_turn: 0,
-            draining: false,
-            pace: Pace::Usual,
+            next_arrival_number: 0,
+            is_draining: false,
+            work_mode: WorkMode::Normal,
             journal: journal.clone(),
             open_flows: open_flows.clone(),
         }));
@@ -157,7 +163,7 @@
             _serving: compio::runtime::spawn(async move {
                 loop {
                     serving.borrow_mut().step();
-                    compio::time::sleep(TICK).await;
+                    compio::time::sleep(STEP_INTERVAL).await;
                 }
             }),
             _listening: compio::runtime::spawn(async move {
@@ -170,22 +176,22 @@
         })
     }
 
-    /// Lets the server close each flow after its next answer.
+    /// Starts to drain: the server closes each flow after its next answer.
     pub(crate) fn drain(&self) {
-        self.server.borrow_mut().draining = true;
+        self.server.borrow_mut().is_draining = true;
     }
 
-    /// Tells whether the server leaves.
+    /// Returns whether the server drains.
     pub(crate) fn is_draining(&self) -> bool {
-        self.server.borrow().draining
+        self.server.borrow().is_draining
     }
 
-    /// Sets how the server works from now on, also on requests that run.
-    pub(crate) fn set_pace(&self, pace: Pace) {
-        self.server.borrow_mut().pace = pace;
+    /// Sets the work mode, also for requests that already run.
+    pub(crate) fn set_work_mode(&self, work_mode: WorkMode) {
+        self.server.borrow_mut().work_mode = work_mode;
     }
 
-    /// Returns the connections that were accepted, which close with their last owner.
+    /// Returns the accepted connections, which stay open as long as they have an owner.
     pub(crate) fn connections(&self) -> Connections {
         self.connections.clone()
     }
@@ -210,45 +216,50 @@
     fn step(&mut self) {
         let mut buffer = [0; MAX_PACKET_BYTES];
         while let Ok((bytes, _)) = self.socket.recv_from(&mut buffer) {
-            self.take(&buffer[..bytes]);
+            self.receive_datagram(&buffer[..bytes]);
         }
-        self.work();
+        self.serve_requests();
         self.send_all();
     }
 
-    fn take(&mut self, bytes: &[u8]) {
-        let Received::Whole(packet) = Packet::decode(bytes) else {
-            self.journal.borrow_mut().forged += 1;
+    fn receive_datagram(&mut self, bytes: &[u8]) {
+        let DecodedPacket::Valid(packet) = Packet::decode(bytes) else {
+            self.journal.borrow_mut().invalid_packets += 1;
             return;
         };
-        if packet.has(SYN | ACK) || packet.has(RST) {
-            self.journal.borrow_mut().forged += 1;
+        if packet.has_flags(SYN | ACK) || packet.has_flags(RST) {
+            self.journal.borrow_mut().invalid_packets += 1;
             return;
         }
-        if packet.has(SYN) {
-            self.open(&packet);
+        if packet.has_flags(SYN) {
+            self.receive_opener(&packet);
             return;
         }
         let now_ms = self.now_ms();
-        let known = self.flows.iter_mut().find(|flow| flow.is(&packet));
+        let known = self
+            .flows
+            .iter_mut()
+            .find(|flow| flow.matches_packet(&packet));
         if let Some(flow) = known {
-            flow.end.take_packet(&packet, now_ms);
+            flow.end.receive_packet(&packet, now_ms);
             return;
         }
-        let chosen = self.half_open.iter().position(|half| {
-            half.is(&packet) && packet.acknowledgement == half.sequence.wrapping_add(1)
+        let position = self.half_open.iter().position(|half| {
+            half.matches_packet(&packet) && packet.acknowledgement == half.sequence.wrapping_add(1)
         });
-        match chosen {
-            Some(index) => self.establish(index, &packet, now_ms),
+        match position {
+            Some(index) => self.establish_flow(index, &packet, now_ms),
             None if self.ended.contains(&(packet.source, packet.destination)) => {
-                self.answer_ended(&packet);
+                self.answer_ended_flow(&packet);
             }
-            None => self.hand_back(bytes),
+            None => self.return_packet(bytes),
         }
     }
 
-    fn answer_ended(&self, packet: &Packet) {
-        if packet.data.is_empty() && !packet.has(FIN) {
+    /// Answers a late packet of a flow that has ended: data with a reset, a `FIN` with an
+    /// acknowledgement.
+    fn answer_ended_flow(&self, packet: &Packet) {
+        if packet.data.is_empty() && !packet.has_flags(FIN) {
             return;
         }
         let answer = Packet {
@@ -262,13 +273,17 @@
         self.send(&answer.encode());
     }
 
-    fn open(&mut self, packet: &Packet) {
+    /// Accepts a flow, or repeats the answer to a copy of its opener.
+    fn receive_opener(&mut self, packet: &Packet) {
         if !self.spec.called.contains(&packet.destination) {
-            self.journal.borrow_mut().foreign += 1;
+            self.journal.borrow_mut().misrouted_openers += 1;
         }
-        let known = self.half_open.iter().position(|half| half.is(packet));
+        let known = self
+            .half_open
+            .iter()
+            .position(|half| half.matches_packet(packet));
         let index = known.unwrap_or_else(|| {
-            self.journal.borrow_mut().opened += 1;
+            self.journal.borrow_mut().openers += 1;
             self.next_sequence = self.next_sequence.wrapping_add(100_003);
             self.half_open.push(HalfOpen {
                 caller: packet.source,
@@ -290,11 +305,11 @@
         self.send(&answer.encode());
     }
 
-    fn establish(&mut self, index: usize, packet: &Packet, now_ms: u64) {
+    fn establish_flow(&mut self, index: usize, packet: &Packet, now_ms: u64) {
         let half = self.half_open.swap_remove(index);
         let sequence = half.sequence.wrapping_add(1);
         let mut end = FlowEndpoint::new(half.called, half.caller, sequence, half.expected);
-        end.take_packet(packet, now_ms);
+        end.receive_packet(packet, now_ms);
         self.open_flows
             .borrow_mut()
             .push((half.caller, half.called));
@@ -302,71 +317,79 @@
             caller: half.caller,
             called: half.called,
             end,
-            work: None,
+            request: None,
         });
     }
 
-    fn hand_back(&self, bytes: &[u8]) {
-        self.journal.borrow_mut().returned += 1;
+    /// Returns a packet of a flow that this server does not hold.
+    fn return_packet(&self, bytes: &[u8]) {
+        self.journal.borrow_mut().returned_packets += 1;
         let mut bytes = bytes.to_vec();
         bytes[0] |= BOUNCED;
         bytes[1] = 0;
         self.send(&bytes);
     }
 
-    /// Starts, ends and refuses requests.
-    fn work(&mut self) {
+    /// Reads new requests, and runs, answers or refuses those that are there.
+    fn serve_requests(&mut self) {
         let now_ms = self.now_ms();
-        let work_ms = match self.pace {
-            Pace::Usual => self.spec.work_ms,
-            Pace::Slow(times) => self.spec.work_ms * times,
-            Pace::Hanging => return,
+        let work_ms = match self.work_mode {
+            WorkMode::Normal => self.spec.work_ms,
+            WorkMode::Slow(times) => self.spec.work_ms * times,
+            WorkMode::Hanging => return,
         };
         for flow in &mut self.flows {
-            if flow.work.is_none()
+            if flow.request.is_none()
                 && let Some(id) = flow.take_request()
             {
-                flow.work = Some(Work {
+                flow.request = Some(ServerRequest {
                     id,
-                    turn: self.next_turn,
+                    arrival_number: self.next_arrival_number,
                     started_ms: None,
                 });
-                self.next_turn += 1;
+                self.next_arrival_number += 1;
             }
         }
-        // The queue is served in order of arrival, so that nobody is overtaken for ever.
-        let turn = |flow: &ServerFlow| flow.work.as_ref().map_or(0, |work| work.turn);
-        self.flows.sort_by_key(turn);
+        // Requests are served in order of arrival, so that none is overtaken for ever.
+        let arrival_number = |flow: &ServerFlow| {
+            flow.request
+                .as_ref()
+                .map_or(0, |request| request.arrival_number)
+        };
+        self.flows.sort_by_key(arrival_number);
         let running = |flow: &&ServerFlow| {
-            flow.work
+            flow.request
                 .as_ref()
-                .is_some_and(|work| work.started_ms.is_some())
+                .is_some_and(|request| request.started_ms.is_some())
         };
         let mut busy = self.flows.iter().filter(running).count();
-        let mut waiting = 0;
+        let mut queued = 0;
         for flow in &mut self.flows {
-            let Some(work) = &mut flow.work else {
+            let Some(request) = &mut flow.request else {
                 continue;
             };
-            match work.started_ms {
+            match request.started_ms {
                 Some(started_ms) if now_ms >= started_ms + work_ms => {
-                    let answer = answer(&self.spec.service, &work.id);
-                    flow.end.send(answer.as_bytes());
-                    flow.work = None;
-                    if self.draining {
-                        flow.end.end();
+                    let answer = answer(&self.spec.service, &request.id);
+                    flow.end.queue(answer.as_bytes());
+                    flow.request = None;
+                    if self.is_draining {
+                        flow.end.close();
                     }
                 }
                 Some(_) => {}
                 None if busy < self.spec.slots => {
                     busy += 1;
-                    work.started_ms = Some(now_ms);
-                    self.journal.borrow_mut().ran.push(work.id.clone());
+                    request.started_ms = Some(now_ms);
+                    self.journal
+                        .borrow_mut()
+                        .executed_ids
+                        .push(request.id.clone());
                 }
-                None if waiting < self.spec.queue => waiting += 1,
+                None if queued < self.spec.queue => queued += 1,
                 None => {
-                    flow.end.send(shed(&work.id).as_bytes());
-                    flow.work = None;
+                    flow.end.queue(shed_answer(&request.id).as_bytes());
+                    flow.request = None;
                 }
             }
         }
@@ -376,21 +399,21 @@
         let now_ms = self.now_ms();
         let mut packets = Vec::new();
         for flow in &mut self.flows {
-            packets.extend(flow.end.packets(now_ms));
-            if flow.end.remote_ended() && flow.work.is_none() {
-                packets.push(flow.end.last_packet());
+            packets.extend(flow.end.packets_to_send(now_ms));
+            if flow.end.is_remote_closed() && flow.request.is_none() {
+                packets.push(flow.end.fin_packet());
             }
         }
         let ended = &mut self.ended;
         let mut open = self.open_flows.borrow_mut();
         self.flows.retain(|flow| {
-            let done = flow.end.remote_ended() && flow.work.is_none();
-            let keeps = !done && flow.end.repeats <= MAX_REPEATS;
-            if !keeps {
+            let is_done = flow.end.is_remote_closed() && flow.request.is_none();
+            let is_kept = !is_done && flow.end.retransmissions <= MAX_RETRANSMISSIONS;
+            if !is_kept {
                 ended.push((flow.caller, flow.called));
                 open.retain(|known| *known != (flow.caller, flow.called));
             }
-            keeps
+            is_kept
         });
         drop(open);
         for packet in packets {
@@ -405,17 +428,17 @@
 }
 
 impl HalfOpen {
-    fn is(&self, packet: &Packet) -> bool {
+    fn matches_packet(&self, packet: &Packet) -> bool {
         self.caller == packet.source && self.called == packet.destination
     }
 }
 
 impl ServerFlow {
-    fn is(&self, packet: &Packet) -> bool {
+    fn matches_packet(&self, packet: &Packet) -> bool {
         self.caller == packet.source && self.called == packet.destination
     }
 
-    /// Takes a whole request from what was received and returns its id.
+    /// Removes the first complete request from the received data and returns its id.
     fn take_request(&mut self) -> Option<String> {
         let text = String::from_utf8_lossy(self.end.received()).into_owned();
         let head_bytes = text.find("\r\n\r\n")? + 4;
@@ -424,12 +447,12 @@
             return None;
         }
         let id = header(&text, "Endivedyke-Request-Id").to_owned();
-        self.end.take(head_bytes + body_bytes);
+        self.end.consume(head_bytes + body_bytes);
         Some(id)
     }
 }
 
-/// Returns the value of a header of an HTTP message, or nothing.
+/// Returns the value of a header of an HTTP message, or an empty string.
 pub(crate) fn header<'a>(message: &'a str, name: &str) -> &'a str {
     let head = message.split("\r\n\r\n").next().unwrap_or("");
     let fields = head.lines().filter_map(|line| line.split_once(": "));
@@ -437,7 +460,7 @@
     found.next().map_or("", |(_, value)| value)
 }
 
-/// Returns the whole answer to a request, which its caller can check.
+/// Returns the complete answer to a request, whose content its caller can check.
 pub(crate) fn answer(service: &str, id: &str) -> String {
     let body = format!("{service} {id} ").repeat(40);
     format!(
@@ -446,8 +469,8 @@
     )
 }
 
-/// Returns the refusal of a request that did not run.
-fn shed(id: &str) -> String {
+/// Returns the answer that refuses a request without running it.
+fn shed_answer(id: &str) -> String {
     format!(
         "HTTP/1.1 503 Service Unavailable\r\nEndivedyke-Not-Executed: {id}\r\nContent-Length: 0\r\n\r\n"
     )
--- a/lab/src/opaque/callers/call_plan.rs
+++ b/lab/src/opaque/callers/call_plan.rs
@@ -1,20 +1,21 @@
-//! What callers of opaque flows do.
+//! The load of a group of callers of opaque flows.
 
 use std::net::SocketAddrV4;
 
-/// What callers do.
+/// The load of a group of callers.
 #[derive(Debug, Clone)]
 pub struct CallPlan {
     /// The service whose answers are expected.
     pub service: String,
-    /// The address that is called.
+    /// The address that they call.
     pub called: SocketAddrV4,
-    /// How many callers keep a feed open and ask on it again and again.
+    /// The number of callers that send many requests on one flow. These may run twice.
     pub feeds: usize,
-    /// How many callers send claims that may not run twice, each on a flow of its own.
+    /// The number of callers that send claims: requests that must not run twice, each on a flow of
+    /// its own.
     pub claims: usize,
     /// The pause between two requests of a caller, in milliseconds.
     pub pause_ms: u64,
-    /// How long a request may take with all its tries, in milliseconds.
+    /// The time limit of a request with all its retries, in milliseconds.
     pub limit_ms: u64,
 }
--- a/lab/src/opaque/callers/call_tally.rs
+++ b/lab/src/opaque/callers/call_tally.rs
@@ -1,26 +1,26 @@
-//! What callers of opaque flows saw.
+//! The results that callers of opaque flows observed.
 
-/// What callers saw.
+/// The results of callers.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct CallTally {
     /// Requests sent.
     pub requests: u64,
-    /// Requests that got the whole answer of their own.
+    /// Requests that got their own complete answer.
     pub answered: u64,
-    /// Requests without an answer within their limit and tries.
+    /// Requests without an answer within their time limit and retries.
     pub failed: u64,
-    /// Answers that were not their request's, and packets that nobody wrote so.
+    /// Answers to another request, and malformed or changed packets.
     pub wrong: u64,
-    /// Open flows reset by the system.
+    /// Open flows that the load balancer reset.
     pub reset: u64,
-    /// Openers that the system refused.
+    /// Openers that the load balancer refused.
     pub refused: u64,
-    /// Flows reset by the system while a backend server held them.
+    /// Flows that the load balancer reset while a backend server held them.
     pub wrongly_reset: u64,
-    /// Refusals by a server that did not run the request.
+    /// Requests that a backend server refused without running them.
     pub shed: u64,
-    /// Claims that were answered, by their ids.
+    /// The ids of claims that were answered.
     pub claims: Vec<String>,
-    /// The longest time until an answer, in milliseconds.
+    /// The longest time from a request to its answer, in milliseconds.
     pub slowest_ms: u64,
 }
--- a/lab/src/opaque/load.rs
+++ b/lab/src/opaque/load.rs
@@ -1,4 +1,4 @@
-//! Load on a site of opaque flows at a deployment's size, with an event at half time.
+//! Runs load on a site of opaque flows of the size of a deployment, with an event at half time.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 const SAMPLE_PERIOD: Duration = Duration::from_secs(1);
 const END_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// What to run.
+/// The load to run.
 #[derive(Debug, Clone)]
 pub(crate) struct OpaqueLoadPlan {
     pub(crate) deployment: String,
@@ -19,10 +19,12 @@
     pub(crate) claims: usize,
     pub(crate) pause_ms: u64,
     pub(crate) seconds: u64,
+    /// The name of the event at half time; see [`inject_event`].
     pub(crate) event: String,
 }
 
-/// The imbalance of open flows in one second: the greatest load over the mean, less one.
+/// The imbalance of open flows over all samples. One sample is the highest number of open flows of a
+/// backend server divided by their mean, minus one.
 #[derive(Debug, Clone, Copy, Default)]
 struct Imbalance {
     sum: f64,
@@ -30,7 +32,7 @@
     samples: u32,
 }
 
-/// Runs the load and returns its closing lines.
+/// Runs the load and returns its report.
 pub(crate) async fn run(plan: &OpaqueLoadPlan) -> Result<String> {
     let services = services(&plan.deployment)?;
     let mut builder = OpaqueSiteBuilder::new(4);
@@ -38,26 +40,26 @@
         builder = builder.service(name, targets, slots, work_ms);
     }
     let mut site = builder.start().await?;
-    let before = cpu_ms(&site)?;
-    let paused = |service, feeds, claims| CallPlan {
+    let cpu_before_ms = cpu_ms(&site)?;
+    let plan_with_pause = |service, feeds, claims| CallPlan {
         pause_ms: plan.pause_ms,
         ..site.call_plan(service, feeds, claims)
     };
     let plans = [
-        paused(0, plan.feeds, plan.claims),
-        paused(1, plan.feeds / 4, plan.claims / 4),
+        plan_with_pause(0, plan.feeds, plan.claims),
+        plan_with_pause(1, plan.feeds / 4, plan.claims / 4),
     ];
     site.start_callers(&plans)?;
     let targets = services[0].1;
     let mut imbalance = Imbalance::default();
     for second in 0..plan.seconds {
         if second == plan.seconds / 2 {
-            strike(&mut site, &plan.event).await?;
+            inject_event(&mut site, &plan.event).await?;
         }
         compio::time::sleep(SAMPLE_PERIOD).await;
         imbalance.sample(&site, targets);
     }
-    let after = cpu_ms(&site)?;
+    let cpu_after_ms = cpu_ms(&site)?;
     let tally = site.finish_callers().await;
     Ok(report(
         plan,
@@ -65,13 +67,14 @@
         &tally,
         &imbalance,
         &site,
-        after.saturating_sub(before) as f64,
+        cpu_after_ms.saturating_sub(cpu_before_ms) as f64,
     ))
 }
 
+/// Name, number of backend servers, slots of each, and duration of a request in milliseconds.
 type ServiceRow = (&'static str, usize, usize, u64);
 
-/// Returns name, targets, slots and work of a deployment's services.
+/// Returns the services of a deployment.
 fn services(deployment: &str) -> Result<[ServiceRow; 2]> {
     match deployment {
         "panelwerk" => Ok([("panel-front", 7, 4, 30), ("study-intake", 3, 4, 5)]),
@@ -87,8 +90,8 @@
             .collect();
         let mean = flows.iter().sum::<f64>() / targets as f64;
         if mean > 0.0 {
-            let greatest = flows.iter().copied().fold(0.0, f64::max);
-            let imbalance = greatest / mean - 1.0;
+            let highest = flows.iter().copied().fold(0.0, f64::max);
+            let imbalance = highest / mean - 1.0;
             self.sum += imbalance;
             self.worst = self.worst.max(imbalance);
             self.samples += 1;
@@ -96,7 +99,8 @@
     }
 }
 
-async fn strike(site: &mut OpaqueSite, event: &str) -> Result<()> {
+/// Performs the event with this name.
+async fn inject_event(site: &mut OpaqueSite, event: &str) -> Result<()> {
     match event {
         "none" => {}
         "restart-balancer" => {
@@ -132,7 +136,7 @@
     Ok(())
 }
 
-/// Returns the processor time that all processes of the product have used, in milliseconds.
+/// Returns the processor time used so far by all processes of the product, in milliseconds.
 fn cpu_ms(site: &OpaqueSite) -> Result<u64> {
     let mut sum_ms = 0;
     for id in site.process_ids() {
--- a/lab/src/opaque/mod.rs
+++ b/lab/src/opaque/mod.rs
@@ -1,5 +1,7 @@
-//! Stand-ins for the users' platform: its store, its routers, callers and backend servers of opaque
-//! flows, written from its published pages and independent of the adapter in `platform/`.
+//! Stand-ins for the users' platform: its store and routers, and callers and backend servers of
+//! opaque flows.
+//!
+//! They follow the platform's documentation and share no code with the adapter in `platform/`.
 
 mod backend;
 mod callers;
--- a/lab/src/opaque/proxy.rs
+++ b/lab/src/opaque/proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy between the processes and the store, which harms the connections that pass through it.
+//! A TCP proxy that injects faults into the connections that pass through it.
 
 use std::cell::{Cell, RefCell};
 use std::net::{IpAddr, SocketAddr};
@@ -14,46 +14,46 @@
 use socket2::{Domain, Protocol, Socket, Type};
 
 const BUFFER_BYTES: usize = 16 << 10;
-/// How often a held connection looks whether it may go on.
+/// The interval at which a blocked connection checks whether it may continue.
 const POLL: Duration = Duration::from_millis(10);
 
-/// What the proxy does to connections, until it is told otherwise.
+/// A fault that the proxy injects into all connections until it is cleared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkFault {
-    /// Bytes arrive late, by so many milliseconds.
+    /// Data is delayed by this many milliseconds.
     Delay(u64),
-    /// Requests arrive, and their answers don't.
+    /// Requests pass, and answers do not.
     CutAnswers,
-    /// Nothing passes in either direction.
+    /// No data passes in either direction.
     Cut,
 }
 
 #[derive(Debug, Default)]
-struct Links {
+struct ProxyState {
     fault: Cell<Option<LinkFault>>,
-    /// Connections with a lower number are silent for good, while new ones work.
+    /// Connections with a lower number pass no more data, while new ones work.
     silent_below: Cell<u64>,
-    next: Cell<u64>,
-    /// Each connection lives as long as its end of this.
+    next_number: Cell<u64>,
+    /// One sender for each open connection. Dropping it closes the connection.
     open: RefCell<Vec<oneshot::Sender<()>>>,
 }
 
-/// A running proxy.
+/// A handle to a running proxy.
 #[derive(Debug, Clone)]
 pub struct ProxyHandle {
-    links: Rc<Links>,
+    state: Rc<ProxyState>,
 }
 
 impl ProxyHandle {
-    /// Starts a proxy at an address, in front of another one.
+    /// Starts a proxy that listens at `address` and forwards connections to `to`.
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where the address is taken.
+    /// Returns code 5001 if the address is already in use.
     pub async fn start(address: SocketAddr, to: SocketAddr) -> Result<Self> {
-        let links: Rc<Links> = Rc::default();
+        let state: Rc<ProxyState> = Rc::default();
         let listener = TcpListener::bind(address).await?;
-        let accepting = links.clone();
+        let accepting = state.clone();
         compio::runtime::spawn(async move {
             loop {
                 if let Ok((stream, peer)) = listener.accept().await {
@@ -62,28 +62,28 @@
             }
         })
         .detach();
-        Ok(Self { links })
+        Ok(Self { state })
     }
 
-    /// Starts or ends a fault of all connections.
+    /// Sets or clears the fault of all connections.
     pub fn set_fault(&self, fault: Option<LinkFault>) {
-        self.links.fault.set(fault);
+        self.state.fault.set(fault);
     }
 
-    /// Breaks all open connections.
+    /// Closes all open connections.
     pub fn break_connections(&self) {
-        self.links.open.borrow_mut().clear();
+        self.state.open.borrow_mut().clear();
     }
 
-    /// Lets nothing pass any more on the connections that are open now; they stay open.
+    /// Stops all data on the connections that are open now, without closing them.
     pub fn silence_open_connections(&self) {
-        self.links.silent_below.set(self.links.next.get());
+        self.state.silent_below.set(self.state.next_number.get());
     }
 }
 
-impl Links {
+impl ProxyState {
     fn accept(self: Rc<Self>, stream: TcpStream, peer: IpAddr, to: SocketAddr) {
-        let number = self.next.replace(self.next.get() + 1);
+        let number = self.next_number.replace(self.next_number.get() + 1);
         let (alive, ended) = oneshot::channel();
         let mut open = self.open.borrow_mut();
         open.retain(|link| !link.is_canceled());
@@ -93,16 +93,16 @@
             let Ok(inner) = connect_from(peer, to) else {
                 return;
             };
-            let requests = self.pump(number, stream.clone(), inner.clone(), false);
-            let answers = self.pump(number, inner, stream, true);
+            let requests = self.forward(number, stream.clone(), inner.clone(), false);
+            let answers = self.forward(number, inner, stream, true);
             let both = select(Box::pin(requests), Box::pin(answers));
-            // One end of a connection that closes ends both of its directions.
+            // If one direction ends, the other one is closed too.
             select(Box::pin(both), ended).await;
         })
         .detach();
     }
 
-    async fn pump(&self, number: u64, mut from: TcpStream, mut to: TcpStream, answers: bool) {
+    async fn forward(&self, number: u64, mut from: TcpStream, mut to: TcpStream, is_answers: bool) {
         let mut buffer = Vec::with_capacity(BUFFER_BYTES);
         loop {
             buffer.clear();
@@ -110,7 +110,7 @@
             if !matches!(result, Ok(1..)) {
                 return;
             }
-            self.hold(number, answers).await;
+            self.wait_until_allowed(number, is_answers).await;
             let BufResult(result, sent) = to.write_all(received).await;
             if result.is_err() {
                 return;
@@ -119,18 +119,18 @@
         }
     }
 
-    /// Returns once bytes may go on.
-    async fn hold(&self, number: u64, answers: bool) {
+    /// Waits until received data may be forwarded.
+    async fn wait_until_allowed(&self, number: u64, is_answers: bool) {
         if let Some(LinkFault::Delay(delay_ms)) = self.fault.get() {
             compio::time::sleep(Duration::from_millis(delay_ms)).await;
         }
         loop {
-            let cut = match self.fault.get() {
+            let is_cut = match self.fault.get() {
                 Some(LinkFault::Cut) => true,
-                Some(LinkFault::CutAnswers) => answers,
+                Some(LinkFault::CutAnswers) => is_answers,
                 Some(LinkFault::Delay(_)) | None => false,
             };
-            if !cut && number >= self.silent_below.get() {
+            if !is_cut && number >= self.silent_below.get() {
                 return;
             }
             compio::time::sleep(POLL).await;
@@ -138,11 +138,11 @@
     }
 }
 
-/// Connects from a process's own address, by which the store tells hosts apart.
+/// Connects from the address of a process, by which the store distinguishes hosts.
 fn connect_from(from: IpAddr, to: SocketAddr) -> Result<TcpStream> {
     let socket = Socket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP))?;
     socket.bind(&SocketAddr::new(from, 0).into())?;
-    // The other end is on this machine, so that this does not wait.
+    // The other end is on this machine, so a blocking connect returns at once.
     socket.connect(&to.into())?;
     socket.set_nonblocking(true)?;
     Ok(TcpStream::from_std(socket.into())?)
--- a/lab/src/opaque/site.rs
+++ b/lab/src/opaque/site.rs
@@ -1,4 +1,4 @@
-//! A site of opaque flows on loopback: real balancers and agents, stand-ins for the rest.
+//! A site of opaque flows on loopback: real balancers and agents, with stand-ins for the rest.
 
 mod backends;
 mod control_proxy;
@@ -27,7 +27,7 @@
 use crate::process::Process;
 
 const STORE_PORT: u16 = 8_169;
-/// Where processes reach the store, through the proxy.
+/// The port of the proxy through which processes reach the store.
 const PROXY_PORT: u16 = 8_170;
 const PACKET_PORT: u16 = 8_172;
 const READY_PORT: u16 = 8_167;
@@ -36,21 +36,22 @@
 const PEER_PORT: u16 = 7_720;
 const METRICS_PORT: u16 = 9_102;
 const FIRST_CALLED_PORT: u16 = 443;
-/// The first of the called addresses that nobody calls.
-const FIRST_IDLE_CALLED: usize = 100;
+/// The index of the first called address that no caller uses.
+const FIRST_IDLE_ADDRESS: usize = 100;
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 const ADDRESS_TIMEOUT: Duration = Duration::from_secs(5);
 const POLL: Duration = Duration::from_millis(20);
-/// For how long a backend server says that it is slow after its start, in milliseconds.
+/// The remaining cold start that entries of backend servers state, in milliseconds.
 const COLD_MS: u64 = 400;
-/// For how long the configuration says that it may be cold, in seconds: longer than tests take on a busy machine.
+/// The duration of a cold start in the configuration, in seconds: longer than a test takes on a
+/// busy machine.
 const COLD_START_S: f64 = 20.0;
 const ZONES: [&str; 3] = ["zone-a", "zone-b", "zone-c"];
 
 const BALANCER_TEMPLATE: &str = include_str!("../../../deploy/balancer.ini");
 const AGENT_TEMPLATE: &str = include_str!("../../../deploy/agent.ini");
 
-/// Returns the availability zone of a host; its balancers and agents stand in all three by turns.
+/// Returns the availability zone of a host. Consecutive hosts are in different zones.
 fn zone(host: Ipv4Addr) -> &'static str {
     ZONES[usize::from(host.octets()[3]) % ZONES.len()]
 }
@@ -68,16 +69,18 @@
 pub struct OpaqueSiteBuilder {
     balancers: usize,
     services: Vec<ServiceSpec>,
-    /// How many new flows a second a cold backend server bears, as operators tell; 0 where they do not.
+    /// The number of new flows per second for a cold backend server in the configuration; 0 means no
+    /// limit.
     cold_flows_per_s: f64,
-    /// The latency objective and the timeout of all routes, in milliseconds, as operators tell; none where they do not.
+    /// The latency objective and the timeout of all routes in the configuration, in milliseconds.
     deadline_ms: Option<(u64, u64)>,
+    /// Whether processes log to pipes that are never read.
     log_to_pipe: bool,
     log_folder: Option<PathBuf>,
 }
 
 impl OpaqueSiteBuilder {
-    /// Describes a site with this many balancers and no service yet.
+    /// Creates a description of a site with this many balancers and no services.
     pub fn new(balancers: usize) -> Self {
         Self {
             balancers,
@@ -100,35 +103,36 @@
         self
     }
 
-    /// Tells how many new flows a second a cold backend server of any service bears.
+    /// Limits the number of new flows per second for cold backend servers of all services.
     pub fn cold_rate(mut self, flows_per_s: f64) -> Self {
         self.cold_flows_per_s = flows_per_s;
         self
     }
 
-    /// Tells the latency objective and the timeout of all routes, and lets callers wait for no longer.
+    /// Sets the latency objective and the timeout of all routes, which is also the time limit of
+    /// callers.
     pub fn deadline(mut self, objective_ms: u64, timeout_ms: u64) -> Self {
         self.deadline_ms = Some((objective_ms, timeout_ms));
         self
     }
 
-    /// Lets processes write log lines to pipes that nobody reads.
+    /// Makes processes log to pipes that are never read.
     pub fn log_to_unread_pipes(mut self) -> Self {
         self.log_to_pipe = true;
         self
     }
 
-    /// Lets processes append their log lines to a file for each host in a folder.
+    /// Makes processes append their logs to one file per host in a folder.
     pub fn log_to_folder(mut self, folder: &Path) -> Self {
         self.log_folder = Some(folder.to_owned());
         self
     }
 
-    /// Starts everything and waits until all balancers are in rotation.
+    /// Starts the whole site and waits until it is ready.
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where a process does not come up.
+    /// Returns code 5001 if a process does not become ready.
     pub async fn start(self) -> Result<OpaqueSite> {
         let mut site = self.start_stand_ins().await?;
         for index in 0..site.spec.balancers {
@@ -141,11 +145,11 @@
         Ok(site)
     }
 
-    /// Starts the stand-ins alone; processes of the product are started one by one.
+    /// Starts only the stand-ins; the caller starts the product's processes one by one.
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where an address is taken.
+    /// Returns code 5001 if an address is already in use.
     pub async fn start_stand_ins(self) -> Result<OpaqueSite> {
         let net = LoopbackNet::draw()?;
         let ip = |last: usize| net.ip(last as u8);
@@ -166,9 +170,9 @@
             backends: Vec::new(),
             journals: Vec::new(),
             open_flows: OpenFlows::default(),
-            service_of: Vec::new(),
-            routed: (0..self.services.len()).collect(),
-            version: 0,
+            backend_services: Vec::new(),
+            routed_services: (0..self.services.len()).collect(),
+            config_version: 0,
             idle_addresses: 0,
             evacuated: RefCell::default(),
             callers: None,
@@ -184,7 +188,7 @@
     }
 }
 
-/// A running site; its processes end when it is dropped.
+/// A running site. Dropping it ends its processes.
 pub struct OpaqueSite {
     net: LoopbackNet,
     folder: TempDir,
@@ -192,21 +196,22 @@
     store: StoreHandle,
     proxy: ProxyHandle,
     routers: Routers,
-    /// Connections to backend servers that ended without a sign on them.
+    /// Connections to backend servers that crashed silently; they stay open.
     silent_connections: Vec<Connections>,
     balancers: Vec<Option<Process>>,
     agents: Vec<Option<Process>>,
     backends: Vec<Option<BackendHandle>>,
     journals: Vec<Rc<RefCell<BackendJournal>>>,
     open_flows: OpenFlows,
-    /// The service of each backend server's host.
-    service_of: Vec<usize>,
-    /// The service behind each called address.
-    routed: Vec<usize>,
-    version: u64,
-    /// How many addresses are routed that nobody calls.
+    /// The index of the service of each backend server.
+    backend_services: Vec<usize>,
+    /// The index of the service behind each called address.
+    routed_services: Vec<usize>,
+    /// The version of the newest configuration.
+    config_version: u64,
+    /// The number of routed addresses that no caller uses.
     idle_addresses: usize,
-    /// The availability zones that operators evacuated.
+    /// The availability zones that are evacuated.
     evacuated: RefCell<Vec<String>>,
     callers: Option<CallersHandle>,
 }
@@ -231,12 +236,12 @@
         zone(self.agent_host(index))
     }
 
-    /// Returns the platform's store.
+    /// Returns the stand-in for the platform's store.
     pub fn store(&self) -> &StoreHandle {
         &self.store
     }
 
-    /// Returns what harms the connections to the store.
+    /// Returns the proxy in front of the store, which injects faults into connections.
     pub fn proxy(&self) -> &ProxyHandle {
         &self.proxy
     }
@@ -249,38 +254,39 @@
         )
     }
 
-    /// Returns the ports of a host to which strangers could send: packets, peers, outbound.
+    /// Returns the addresses of a host that receive datagrams: packets, peers and outbound.
     pub fn datagram_addresses(&self, host: Ipv4Addr) -> [SocketAddr; 3] {
         [PACKET_PORT, PEER_PORT, OUTBOUND_PORT].map(|port| SocketAddr::from((host, port)))
     }
 
     /// Routes a called address to another service.
     pub fn set_route(&mut self, called: usize, service: usize) {
-        self.routed[called] = service;
+        self.routed_services[called] = service;
         self.publish_routes();
     }
 
-    /// Takes a called address away.
+    /// Removes the route of the last called address.
     pub fn remove_last_route(&mut self) {
-        self.routed.pop();
+        self.routed_services.pop();
         self.publish_routes();
     }
 
-    /// Routes one more address that nobody calls.
+    /// Adds a route for an address that no caller uses, to change the configuration.
     pub fn add_idle_route(&mut self) {
         self.idle_addresses += 1;
         self.publish_routes();
     }
 
+    /// Writes the routes as a new version of the configuration.
     fn publish_routes(&mut self) {
-        self.version += 3;
+        self.config_version += 3;
         self.write_config();
     }
 
-    /// Writes the newest configuration to the store, as a new one or once more.
+    /// Writes the newest version of the configuration to the store, possibly again.
     fn write_config(&self) {
-        let routed = self.routed.iter().copied().enumerate();
-        let idle = (0..self.idle_addresses).map(|index| (FIRST_IDLE_CALLED + index, 0));
+        let routed = self.routed_services.iter().copied().enumerate();
+        let idle = (0..self.idle_addresses).map(|index| (FIRST_IDLE_ADDRESS + index, 0));
         let routes: Vec<_> = routed
             .chain(idle)
             .map(|(called, service)| {
@@ -299,20 +305,19 @@
                 route
             })
             .collect();
-        let told = |service: &ServiceSpec| {
+        let service_json = |service: &ServiceSpec| {
             json!({
                 "name": service.name,
                 "coldStartS": COLD_START_S,
                 "coldPerS": self.spec.cold_flows_per_s,
             })
         };
-        let services: Vec<_> = self.spec.services.iter().map(told).collect();
-        let config =
-            json!({"version": self.version, "routes": routes, "services": services, "limits": {}});
+        let services: Vec<_> = self.spec.services.iter().map(service_json).collect();
+        let config = json!({"version": self.config_version, "routes": routes, "services": services, "limits": {}});
         self.store.put("op/config", &config);
     }
 
-    /// Returns the number of flows open at a backend server.
+    /// Returns the number of open flows of a backend server.
     pub fn open_flows(&self, index: usize) -> usize {
         self.backends[index]
             .as_ref()
@@ -323,7 +328,7 @@
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where the callers' address is taken.
+    /// Returns code 5001 if the callers' address is already in use.
     pub fn start_callers(&mut self, plans: &[CallPlan]) -> Result<()> {
         let host = self.ip(200);
         self.callers = Some(CallersHandle::start(
@@ -336,7 +341,7 @@
         Ok(())
     }
 
-    /// Returns a plan for callers of a service.
+    /// Returns the load of a number of callers of a service.
     pub fn call_plan(&self, service: usize, feeds: usize, claims: usize) -> CallPlan {
         CallPlan {
             service: self.spec.services[service].name.clone(),
@@ -348,7 +353,7 @@
         }
     }
 
-    /// Lets several times as many callers call.
+    /// Starts a rush of `times` times as many callers.
     pub fn start_rush(&self, times: usize) {
         if let Some(callers) = &self.callers {
             callers.start_rush(times);
@@ -362,7 +367,7 @@
         }
     }
 
-    /// Returns what callers saw so far.
+    /// Returns the callers' results so far.
     pub fn tally(&self) -> CallTally {
         self.callers
             .as_ref()
@@ -370,7 +375,7 @@
             .unwrap_or_default()
     }
 
-    /// Ends the callers and returns what they saw.
+    /// Ends the callers and returns their results.
     pub async fn finish_callers(&self) -> CallTally {
         match &self.callers {
             Some(callers) => callers.finish().await,
--- a/lab/src/opaque/site/backends.rs
+++ b/lab/src/opaque/site/backends.rs
@@ -1,4 +1,4 @@
-//! The backend servers of a site: their starts, lifetimes and entries.
+//! Starts the backend servers of a site and writes their entries.
 
 use std::net::SocketAddrV4;
 use std::rc::Rc;
@@ -17,32 +17,32 @@
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where an address is taken.
+    /// Returns code 5001 if an address is already in use.
     pub async fn add_backend(&mut self, service: usize) -> Result<usize> {
         let index = self.backends.len();
         self.journals.push(Rc::default());
         self.backends.push(None);
         self.agents.push(None);
-        self.service_of.push(service);
+        self.backend_services.push(service);
         self.start_backend(index, service).await?;
         Ok(index)
     }
 
-    /// Starts a new lifetime of a backend server, under a new id, and registers it.
+    /// Starts a new lifetime of a backend server under a new id and registers it.
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where an address is taken.
+    /// Returns code 5001 if an address is already in use.
     pub async fn start_backend(&mut self, index: usize, service: usize) -> Result<()> {
         let id = format!("i-{:08x}", rand::random::<u32>());
         self.start_backend_with_id(&id, index, service).await
     }
 
-    /// Starts a new lifetime of a backend server under the id that it had, and registers it.
+    /// Starts a new lifetime of a backend server under a given id and registers it.
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where an address is taken.
+    /// Returns code 5001 if an address is already in use.
     pub async fn start_backend_with_id(
         &mut self,
         id: &str,
@@ -55,19 +55,19 @@
             service: spec.name.clone(),
             address: SocketAddrV4::new(host, APP_PORT),
             outbound: SocketAddrV4::new(host, OUTBOUND_PORT),
-            called: self.called_of(service),
+            called: self.called_addresses(service),
             slots: spec.slots,
             queue: 4 * spec.slots,
             work_ms: spec.work_ms,
         };
         let backend = self.start_at_free_address(id, &spec, index).await?;
         self.backends[index] = Some(backend);
-        self.service_of[index] = service;
+        self.backend_services[index] = service;
         self.register(index, "ready");
         Ok(())
     }
 
-    /// Starts a server once the one before it has let go of its address.
+    /// Starts a server, with retries until the previous one has released its address.
     async fn start_at_free_address(
         &self,
         id: &str,
@@ -83,12 +83,15 @@
         }
     }
 
-    fn called_of(&self, service: usize) -> Vec<SocketAddrV4> {
-        let routed = self.routed.iter().enumerate();
-        let own = routed.filter(|(_, routed)| **routed == service);
-        own.map(|(called, _)| self.called_address(called)).collect()
+    fn called_addresses(&self, service: usize) -> Vec<SocketAddrV4> {
+        let routed = self.routed_services.iter().enumerate();
+        let of_service = routed.filter(|(_, routed)| **routed == service);
+        of_service
+            .map(|(called, _)| self.called_address(called))
+            .collect()
     }
 
+    /// Writes the entry of a backend server, if the server runs.
     pub(super) fn register(&self, index: usize, state: &str) {
         if let Some(backend) = &self.backends[index] {
             let entry = json!({
--- a/lab/src/opaque/site/faults.rs
+++ b/lab/src/opaque/site/faults.rs
@@ -1,15 +1,15 @@
-//! What may befall the backend servers of a site.
+//! Faults of the backend servers of a site, and evacuations of its zones.
 
 use serde_json::json;
 
-use crate::opaque::backend::{BackendHandle, Pace};
+use crate::opaque::backend::{BackendHandle, WorkMode};
 use crate::opaque::site::{APP_PORT, OpaqueSite};
 
-/// What the keys start with by which operators evacuate zones.
+/// The prefix of the keys with which operators evacuate zones.
 pub(super) const EVACUATE_PREFIX: &str = "op/evacuate/";
 
 impl OpaqueSite {
-    /// Lets a backend server report that it leaves, and close flows after their next answer.
+    /// Drains a backend server: it publishes that it drains, and closes flows after their next answer.
     pub fn drain_backend(&self, index: usize) {
         self.register(index, "draining");
         if let Some(backend) = &self.backends[index] {
@@ -17,37 +17,39 @@
         }
     }
 
-    /// Ends a backend server as a crash would; its entry stays until it is removed.
+    /// Crashes a backend server and returns its id. Its entry stays until it is removed.
     pub fn crash_backend(&mut self, index: usize) -> Option<String> {
         let backend = self.backends[index].take()?;
         Some(backend.id)
     }
 
-    /// Ends a backend server as a crash behind a cut would: connections to it stay open, and are silent.
+    /// Crashes a backend server as a host behind a cut network would, and returns its id: connections
+    /// to it stay open and silent.
     pub fn crash_backend_silently(&mut self, index: usize) -> Option<String> {
         let backend = self.backends[index].take()?;
         self.silent_connections.push(backend.connections());
         Some(backend.id)
     }
 
-    /// Lets a backend server take several times as long for each request.
+    /// Makes a backend server take `times` times as long for each request.
     pub fn slow_backend(&self, index: usize, times: u64) {
-        self.set_pace(index, Pace::Slow(times));
+        self.set_work_mode(index, WorkMode::Slow(times));
     }
 
-    /// Lets a backend server accept requests and answer none; it goes on to say that it is well.
+    /// Makes a backend server accept requests without answering them. Its entry still says that it is
+    /// ready.
     pub fn hang_backend(&self, index: usize) {
-        self.set_pace(index, Pace::Hanging);
+        self.set_work_mode(index, WorkMode::Hanging);
     }
 
-    /// Lets a backend server that is slow or hangs work as usual again.
+    /// Ends the slowness or the hang of a backend server.
     pub fn resume_normal_work(&self, index: usize) {
-        self.set_pace(index, Pace::Usual);
+        self.set_work_mode(index, WorkMode::Normal);
     }
 
-    fn set_pace(&self, index: usize, pace: Pace) {
+    fn set_work_mode(&self, index: usize, work_mode: WorkMode) {
         if let Some(backend) = &self.backends[index] {
-            backend.set_pace(pace);
+            backend.set_work_mode(work_mode);
         }
     }
 
@@ -56,27 +58,27 @@
         self.store.remove(&format!("servers/{id}"));
     }
 
-    /// Asks that an availability zone gets no new flow.
+    /// Evacuates an availability zone, as operators do.
     pub fn evacuate_zone(&self, zone: &str) {
         self.evacuated.borrow_mut().push(zone.to_owned());
         self.store
             .put(&format!("{EVACUATE_PREFIX}{zone}"), &json!({}));
     }
 
-    /// Takes an evacuated availability zone back.
+    /// Takes an evacuated availability zone back into service.
     pub fn take_zone_back(&self, zone: &str) {
-        self.evacuated.borrow_mut().retain(|known| known != zone);
+        self.evacuated.borrow_mut().retain(|other| other != zone);
         self.store.remove(&format!("{EVACUATE_PREFIX}{zone}"));
     }
 
-    /// Takes a backend server's entry away while the server lives, as a store that was away does.
+    /// Removes the entry of a running backend server, as the store does after an outage.
     pub fn lapse_entry(&self, index: usize) {
         if let Some(backend) = &self.backends[index] {
             self.remove_entry(&backend.id);
         }
     }
 
-    /// Writes over a backend server's entry as another program would.
+    /// Overwrites the entry of a backend server with an incomplete one, as another program might.
     pub fn overwrite_entry(&self, index: usize) {
         if let Some(backend) = &self.backends[index] {
             let entry = json!({"service": backend.spec.service, "state": "ready"});
@@ -84,7 +86,7 @@
         }
     }
 
-    /// Writes an entry of a service that no configuration names, at the address of a backend server.
+    /// Writes an entry of an unconfigured service with the address of a backend server.
     pub fn write_foreign_entry(&self, index: usize) {
         let entry = json!({
             "service": "unheard-of", "address": format!("{}:{APP_PORT}", self.agent_host(index)),
@@ -94,11 +96,11 @@
         self.store.put("servers/i-of-another-program", &entry);
     }
 
-    /// Publishes a backend server's entry again, if the server lives.
+    /// Rewrites the entry of a backend server, if the server runs.
     pub fn rewrite_entry(&self, index: usize) {
-        let draining = self.backends[index]
+        let is_draining = self.backends[index]
             .as_ref()
             .is_some_and(BackendHandle::is_draining);
-        self.register(index, if draining { "draining" } else { "ready" });
+        self.register(index, if is_draining { "draining" } else { "ready" });
     }
 }
--- a/lab/src/opaque/site/observations.rs
+++ b/lab/src/opaque/site/observations.rs
@@ -1,4 +1,4 @@
-//! What backend servers and metrics show of a site.
+//! What backend servers and metrics report about a site.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -7,40 +7,43 @@
 use crate::opaque::site::{METRICS_PORT, OpaqueSite};
 
 impl OpaqueSite {
-    /// Returns the ids of all requests that backend servers ran.
+    /// Returns the sorted ids of all requests that backend servers ran, repeated for each run.
     pub fn executed_requests(&self) -> Vec<String> {
         let journals = self.journals.iter();
-        let mut ran: Vec<String> = journals
-            .flat_map(|journal| journal.borrow().ran.clone())
+        let mut ids: Vec<String> = journals
+            .flat_map(|journal| journal.borrow().executed_ids.clone())
             .collect();
-        ran.sort_unstable();
-        ran
+        ids.sort_unstable();
+        ids
     }
 
-    /// Returns how many openers reached a backend server's host.
+    /// Returns the number of openers that backend servers on a host received, without copies.
     pub fn openers_received(&self, index: usize) -> usize {
-        self.journals[index].borrow().opened
+        self.journals[index].borrow().openers
     }
 
-    /// Returns how many claims ran more than once.
+    /// Returns the number of extra runs of claims that ran more than once.
     pub fn claims_run_twice(&self) -> usize {
-        let ran = self.executed_requests();
-        let claims: Vec<&String> = ran.iter().filter(|id| id.starts_with("claim")).collect();
+        let ids = self.executed_requests();
+        let claims: Vec<&String> = ids.iter().filter(|id| id.starts_with("claim")).collect();
         claims.windows(2).filter(|pair| pair[0] == pair[1]).count()
     }
 
-    /// Returns how many packets reached backend servers that nobody wrote so, or of other services.
+    /// Returns the number of packets at backend servers that were malformed or changed, or openers of
+    /// another service.
     pub fn misdelivered_packets(&self) -> u64 {
         let journals = self.journals.iter();
         journals
-            .map(|journal| journal.borrow().forged + journal.borrow().foreign)
+            .map(|journal| journal.borrow().invalid_packets + journal.borrow().misrouted_openers)
             .sum()
     }
 
-    /// Returns how many packets backend servers handed back.
+    /// Returns the number of packets that backend servers returned.
     pub fn returned_packets(&self) -> u64 {
         let journals = self.journals.iter();
-        journals.map(|journal| journal.borrow().returned).sum()
+        journals
+            .map(|journal| journal.borrow().returned_packets)
+            .sum()
     }
 
     /// Returns a metric of a process, summed over its labels.
--- a/lab/src/opaque/site/processes.rs
+++ b/lab/src/opaque/site/processes.rs
@@ -1,4 +1,4 @@
-//! The processes of the product in a site: their starts, ends and readiness.
+//! Starts the product's processes in a site and checks their readiness.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
@@ -12,31 +12,31 @@
 use crate::process::Process;
 
 impl OpaqueSite {
-    /// Starts a balancer anew, and ends the process before it if it is still there.
+    /// Starts a balancer after ending its previous process, if that still runs.
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where it can't be started.
+    /// Returns code 5001 if it can't be started.
     pub fn restart_balancer(&mut self, index: usize) -> Result<()> {
         self.balancers[index] = None;
         self.start_balancer(index)
     }
 
-    /// Starts an agent anew, and ends the process before it if it is still there.
+    /// Starts an agent after ending its previous process, if that still runs.
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where it can't be started.
+    /// Returns code 5001 if it can't be started.
     pub fn restart_agent(&mut self, index: usize) -> Result<()> {
         self.agents[index] = None;
         self.start_agent(index)
     }
 
-    /// Starts a balancer's process.
+    /// Starts a balancer.
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where it can't be started.
+    /// Returns code 5001 if it can't be started.
     pub fn start_balancer(&mut self, index: usize) -> Result<()> {
         let host = self.balancer_host(index);
         let settings = self.settings(BALANCER_TEMPLATE, host, "");
@@ -45,14 +45,14 @@
         Ok(())
     }
 
-    /// Starts an agent's process beside its backend server.
+    /// Starts an agent on the host of its backend server.
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where it can't be started.
+    /// Returns code 5001 if it can't be started.
     pub fn start_agent(&mut self, index: usize) -> Result<()> {
         let host = self.agent_host(index);
-        let service = &self.spec.services[self.service_of[index]].name;
+        let service = &self.spec.services[self.backend_services[index]].name;
         let settings = self.settings(AGENT_TEMPLATE, host, service);
         let process = self.spawn("endivedyke-platform-agent", host, &settings)?;
         self.agents[index] = Some(process);
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Returns the path of the settings file of a host's process.
+    /// Returns the path of the settings file of the process on a host.
     pub fn settings_path(&self, host: Ipv4Addr) -> PathBuf {
         self.folder.path().join(format!("{host}.ini"))
     }
@@ -91,11 +91,11 @@
         self.agents[index].as_mut()
     }
 
-    /// Waits until every balancer that runs is in rotation and every agent answers.
+    /// Waits until all running balancers are in rotation and all agents are ready.
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where that takes too long.
+    /// Returns code 5001 if that takes too long.
     pub async fn wait_ready(&self) -> Result<()> {
         let until = Instant::now() + READY_TIMEOUT;
         let running = self.balancers.iter().flatten().count();
@@ -105,7 +105,7 @@
                 hosts.push(self.agent_host(index));
             }
         }
-        while self.routers.ready() < running || !self.are_all_ready(&hosts).await {
+        while self.routers.ready_count() < running || !self.are_all_ready(&hosts).await {
             if Instant::now() >= until {
                 return Err(Error::new(Code::Io, "the site does not become ready"));
             }
@@ -114,7 +114,7 @@
         Ok(())
     }
 
-    /// Tells whether the processes on these hosts say that they take traffic.
+    /// Returns whether the processes on all these hosts report that they are ready.
     pub async fn are_all_ready(&self, hosts: &[Ipv4Addr]) -> bool {
         for host in hosts {
             let address = SocketAddr::from((*host, READY_PORT));
--- a/lab/src/opaque/site/settings.rs
+++ b/lab/src/opaque/site/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a site's processes, from the templates that the platform fills in.
+//! The settings of a site's processes, from the templates in `deploy/`.
 
 use std::net::Ipv4Addr;
 
@@ -7,7 +7,7 @@
 };
 
 impl OpaqueSite {
-    /// Fills a template in as the platform does.
+    /// Fills in a template, as the platform does.
     pub(super) fn settings(&self, template: &str, host: Ipv4Addr, service: &str) -> String {
         let seeds: Vec<String> = (0..self.spec.balancers.min(3))
             .map(|index| format!("{}:{PEER_PORT}", self.balancer_host(index)))
@@ -31,7 +31,7 @@
             text = text.replace(&format!("{{{{{name}}}}}"), &value);
         }
         if let Some(folder) = &self.spec.log_folder {
-            // The section of log lines is the template's last.
+            // The log section is the last one of the template.
             text += &format!("file = {}\n", folder.join(format!("{host}.log")).display());
         }
         text
--- a/lab/src/opaque/site/store_recovery.rs
+++ b/lab/src/opaque/site/store_recovery.rs
@@ -1,4 +1,4 @@
-//! What operators and backend servers do once the store has come back from an older copy.
+//! How operators and backend servers recover after a restore of the store from an older copy.
 
 use serde_json::json;
 
@@ -8,10 +8,11 @@
 impl OpaqueSite {
     /// Returns the version of the newest configuration.
     pub fn config_version(&self) -> u64 {
-        self.version
+        self.config_version
     }
 
-    /// Writes again what operators and backend servers wrote, as far as the store no longer has it.
+    /// Rewrites the configuration, the evacuations and the entries of running backend servers, which
+    /// the store may have lost.
     pub fn rewrite_lost_values(&self) {
         self.write_config();
         self.write_evacuations();
@@ -22,20 +23,21 @@
 
     fn write_evacuations(&self) {
         let evacuated = self.evacuated.borrow();
-        let wanted: Vec<String> = evacuated
+        let expected: Vec<String> = evacuated
             .iter()
             .map(|zone| format!("{EVACUATE_PREFIX}{zone}"))
             .collect();
-        let held = self.store.keys(EVACUATE_PREFIX);
-        for key in wanted.iter().filter(|key| !held.contains(key)) {
+        let stored = self.store.keys(EVACUATE_PREFIX);
+        for key in expected.iter().filter(|key| !stored.contains(key)) {
             self.store.put(key, &json!({}));
         }
-        for key in held.iter().filter(|key| !wanted.contains(key)) {
+        for key in stored.iter().filter(|key| !expected.contains(key)) {
             self.store.remove(key);
         }
     }
 
-    /// Removes the entries of backend servers that have ended, as once their leases run out.
+    /// Removes the entries of backend servers that have ended, as the store does when their leases
+    /// expire.
     pub fn remove_dead_entries(&self) {
         let live = self.backends.iter().flatten();
         let live: Vec<String> = live
--- a/lab/src/opaque/soak.rs
+++ b/lab/src/opaque/soak.rs
@@ -1,5 +1,5 @@
-//! A randomized soak: the real processes under overlapping faults from outside, and the promises
-//! checked while it runs, from what callers and backend servers see.
+//! A randomized soak test: injects overlapping faults into a site of real processes, and checks the
+//! promises from what callers and backend servers observe.
 
 mod faults;
 
@@ -13,65 +13,74 @@
 use crate::opaque::callers::CallTally;
 use crate::opaque::site::{OpaqueSite, OpaqueSiteBuilder};
 use crate::opaque::soak::faults::{
-    EVACUATION_SEED, Fault, Heal, ONE_ATTEMPT_SEED, RESTORE_SEED, faults_of,
+    EVACUATION_SEED, Fault, ONE_ATTEMPT_SEED, RESTORE_SEED, Repair, faults_for_seed,
 };
 use crate::opaque::store::{StoreFault, StoreSnapshot};
 use crate::process::Process;
 
 const BALANCERS: usize = 3;
 const BACKENDS: usize = 5;
-/// The pause between two faults, in milliseconds: shorter than most faults, so that they overlap.
-const PAUSE_MS: std::ops::Range<u64> = 100..900;
-/// How long a fault lasts, in milliseconds.
-const FAULT_MS: std::ops::Range<u64> = 200..2_500;
-/// After how long processes start again that are killed while the store is silent, in milliseconds.
-const RESTART_MS: u64 = 300;
-/// How long a backend server that drains goes on, in milliseconds.
-const DRAIN_MS: u64 = 1_500;
-/// How long after the return of the store a lapsed entry is back, in milliseconds.
-const LAPSE_MS: u64 = 1_500;
-/// How old at least the copy is from which the store comes back, in milliseconds.
-const COPY_AGE_MS: u64 = 1_000;
-/// Within how long after the return of the store everything is written again, in milliseconds: what the platform promises.
-const WRITE_AGAIN_MS: std::ops::Range<u64> = 0..2_000;
-/// How long after that entries of ended servers still stand in the copy, in milliseconds: three signs of life.
-const DEAD_ENTRIES_MS: u64 = 3_600;
-/// How many times as long a slow backend server takes for a request.
-const SLOW_TIMES: u64 = 8;
-/// How many times as many callers call in a rush, and for how long, in milliseconds.
-const RUSH_TIMES: usize = 5;
-const RUSH_MS: std::ops::Range<u64> = 1_000..2_000;
-/// What operators tell of routes whose callers have time for one attempt only: the latency objective and the timeout,
-/// in milliseconds. An attempt that nobody answers lasts 1,400.
+/// The interval between two faults, in milliseconds: shorter than most faults, so that they overlap.
+const FAULT_INTERVAL_MS: std::ops::Range<u64> = 100..900;
+/// The duration of a fault, in milliseconds.
+const FAULT_DURATION_MS: std::ops::Range<u64> = 200..2_500;
+/// The delay after which processes that are killed while the store is silent start again, in
+/// milliseconds.
+const RESTART_DELAY_MS: u64 = 300;
+/// The time from the start of a drain to the end of the backend server, in milliseconds.
+const DRAIN_DURATION_MS: u64 = 1_500;
+/// The delay after which a lapsed entry is back once the store answers again, in milliseconds.
+const ENTRY_LAPSE_MS: u64 = 1_500;
+/// The minimum age of the copy from which the store is restored, in milliseconds.
+const MIN_COPY_AGE_MS: u64 = 1_000;
+/// The delay after a restore until all lost values are rewritten, in milliseconds: the platform
+/// promises two seconds.
+const REWRITE_DELAY_MS: std::ops::Range<u64> = 0..2_000;
+/// The delay after a restore until the entries of ended servers are removed, in milliseconds: three
+/// heartbeats.
+const DEAD_ENTRY_LEASE_MS: u64 = 3_600;
+/// The factor by which a slow backend server takes longer for a request.
+const SLOWDOWN: u64 = 8;
+/// The factor by which the number of callers grows in a rush.
+const RUSH_FACTOR: usize = 5;
+/// The duration of a rush, in milliseconds.
+const RUSH_DURATION_MS: std::ops::Range<u64> = 1_000..2_000;
+/// The latency objective and the timeout of routes whose callers have time for only one attempt, in
+/// milliseconds. An attempt without an answer takes 1,400 ms.
 const DEADLINE_MS: (u64, u64) = (300, 1_500);
-/// How long the site has to recover after the last fault: lapsed entries, suspicions and patience.
-const RECOVERY: Duration = Duration::from_secs(6);
-/// How long requests are counted after that.
-const CALM: Duration = Duration::from_secs(2);
-const POLL: Duration = Duration::from_millis(20);
+/// The time to recover after the last fault: lapsed entries have to come back, and suspicions and
+/// timeouts have to expire.
+const RECOVERY_DURATION: Duration = Duration::from_secs(6);
+/// The time after that in which all requests have to be answered.
+const CALM_DURATION: Duration = Duration::from_secs(2);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How long an evacuation may take to be in force everywhere, in milliseconds: the bound of the users' sheet for the
-/// site that has evacuations.
-const EVACUATION_MS: u64 = 5_000;
-/// For how long an evacuated zone is watched at the end, in milliseconds.
-const WATCHED_MS: u64 = 1_000;
+/// The time within which an evacuation has to be in force everywhere, in milliseconds: the users'
+/// bound for the site that has evacuations.
+const EVACUATION_TIMEOUT_MS: u64 = 5_000;
+/// The time for which openers in the evacuated zone are counted after that, in milliseconds.
+const EVACUATION_CHECK_MS: u64 = 1_000;
 
 struct Soak {
     site: OpaqueSite,
     faults: &'static [Fault],
     random: StdRng,
     started: Instant,
-    heals: Vec<(u64, Heal)>,
+    /// The repairs to do, with their due times in milliseconds since the start.
+    repairs: Vec<(u64, Repair)>,
+    /// The faults so far, for the report.
     steps: Vec<String>,
-    /// What the store held, and when, in order of time.
-    copies: Vec<(u64, StoreSnapshot)>,
+    /// Snapshots of the store with their times in milliseconds since the start, in order of time.
+    snapshots: Vec<(u64, StoreSnapshot)>,
 }
 
-/// Runs one seed for some seconds, with log lines in files of a folder if one is named; the error names what was broken and the steps until then.
+/// Runs one seed for some seconds and returns a summary. The processes log to files in the folder
+/// `logs`, if given.
 ///
 /// # Errors
 ///
-/// Returns code 1101 where a promise was broken and 5001 where a process does not come up.
+/// Returns code 1101 with the broken promises and the faults so far if a promise is broken, and code
+/// 5001 if a process does not become ready.
 pub async fn run_soak(seed: u64, seconds: u64, logs: Option<&Path>) -> Result<String> {
     let mut builder = OpaqueSiteBuilder::new(BALANCERS).service("panel-front", BACKENDS, 4, 8);
     if seed >= ONE_ATTEMPT_SEED {
@@ -82,31 +91,31 @@
     }
     let mut soak = Soak {
         site: builder.start().await?,
-        faults: faults_of(seed),
+        faults: faults_for_seed(seed),
         random: StdRng::seed_from_u64(seed),
         started: Instant::now(),
-        heals: Vec::new(),
+        repairs: Vec::new(),
         steps: Vec::new(),
-        copies: Vec::new(),
+        snapshots: Vec::new(),
     };
     soak.site.start_callers(&[soak.site.call_plan(0, 16, 6)])?;
     while soak.started.elapsed() < Duration::from_secs(seconds) {
-        soak.strike()?;
-        let pause_ms = soak.random.random_range(PAUSE_MS);
+        soak.inject_fault()?;
+        let pause_ms = soak.random.random_range(FAULT_INTERVAL_MS);
         let next_ms = soak.now_ms() + pause_ms;
         while soak.now_ms() < next_ms {
-            soak.heal_due().await?;
-            compio::time::sleep(POLL).await;
+            soak.run_due_repairs().await?;
+            compio::time::sleep(POLL_INTERVAL).await;
         }
     }
-    soak.heal_all().await?;
-    compio::time::sleep(RECOVERY).await;
+    soak.run_all_repairs().await?;
+    compio::time::sleep(RECOVERY_DURATION).await;
     let before = soak.site.tally();
-    compio::time::sleep(CALM).await;
-    let evacuated = soak.openers_in_an_evacuated_zone(seed).await;
-    let behind = soak.processes_behind(seed).await;
+    compio::time::sleep(CALM_DURATION).await;
+    let evacuated_openers = soak.count_openers_in_evacuated_zone(seed).await;
+    let outdated = soak.count_outdated_processes(seed).await;
     let tally = soak.site.finish_callers().await;
-    soak.judge(seed, &before, &tally, [evacuated, behind])
+    soak.check_promises(seed, &before, &tally, [evacuated_openers, outdated])
 }
 
 impl Soak {
@@ -114,12 +123,13 @@
         self.started.elapsed().as_millis() as u64
     }
 
-    fn strike(&mut self) -> Result<()> {
+    /// Injects a random fault and schedules its repair.
+    fn inject_fault(&mut self) -> Result<()> {
         let fault = self.faults[self.random.random_range(0..self.faults.len())];
         let balancer = self.random.random_range(0..BALANCERS);
         let index = self.random.random_range(0..BACKENDS);
-        let due_ms = self.now_ms() + self.random.random_range(FAULT_MS);
-        self.copies
+        let due_ms = self.now_ms() + self.random.random_range(FAULT_DURATION_MS);
+        self.snapshots
             .push((self.now_ms(), self.site.store().snapshot()));
         self.steps.push(format!(
             "{} ms: {fault:?} {balancer} {index}",
@@ -127,116 +137,120 @@
         ));
         match fault {
             Fault::KillBalancer | Fault::StopBalancer => {
-                let kill = fault == Fault::KillBalancer;
+                let is_kill = fault == Fault::KillBalancer;
                 if let Some(process) = self.site.balancer(balancer) {
-                    end(process, kill)?;
-                    self.heals.push((due_ms, Heal::StartBalancer(balancer)));
+                    stop_process(process, is_kill)?;
+                    self.repairs.push((due_ms, Repair::StartBalancer(balancer)));
                 }
             }
             Fault::FreezeBalancer => {
                 if let Some(process) = self.site.balancer(balancer) {
-                    quietly(process.freeze());
-                    self.heals.push((due_ms, Heal::ThawBalancer(balancer)));
+                    ignore_signal_error(process.freeze());
+                    self.repairs.push((due_ms, Repair::ThawBalancer(balancer)));
                 }
             }
             Fault::KillAgent | Fault::StopAgent => {
-                let kill = fault == Fault::KillAgent;
+                let is_kill = fault == Fault::KillAgent;
                 if let Some(process) = self.site.agent(index) {
-                    end(process, kill)?;
-                    self.heals.push((due_ms, Heal::StartAgent(index)));
+                    stop_process(process, is_kill)?;
+                    self.repairs.push((due_ms, Repair::StartAgent(index)));
                 }
             }
             Fault::FreezeAgent => {
                 if let Some(process) = self.site.agent(index) {
-                    quietly(process.freeze());
-                    self.heals.push((due_ms, Heal::ThawAgent(index)));
+                    ignore_signal_error(process.freeze());
+                    self.repairs.push((due_ms, Repair::ThawAgent(index)));
                 }
             }
             Fault::CrashBackend => {
                 if let Some(old_id) = self.site.crash_backend(index) {
-                    self.heals
-                        .push((due_ms, Heal::StartBackend { index, old_id }));
+                    self.repairs
+                        .push((due_ms, Repair::StartBackend { index, old_id }));
                 }
             }
             Fault::CrashSilently => {
                 if let Some(old_id) = self.site.crash_backend_silently(index) {
-                    self.heals
-                        .push((due_ms, Heal::StartBackend { index, old_id }));
+                    self.repairs
+                        .push((due_ms, Repair::StartBackend { index, old_id }));
                 }
             }
             Fault::RestartUnderId => {
                 if let Some(id) = self.site.crash_backend(index) {
-                    self.heals.push((due_ms, Heal::StartUnderId { index, id }));
+                    self.repairs
+                        .push((due_ms, Repair::StartBackendWithId { index, id }));
                 }
             }
             Fault::OverwriteEntry => {
                 self.site.overwrite_entry(index);
-                self.heals.push((due_ms, Heal::Register(index)));
+                self.repairs.push((due_ms, Repair::RewriteEntry(index)));
             }
-            // It stays, as nobody of the site knows it.
+            // No repair removes it, because it belongs to no process of the site.
             Fault::ForeignEntry => self.site.write_foreign_entry(index),
             Fault::Evacuate => {
                 let zone = self.site.backend_zone(index);
                 self.site.evacuate_zone(zone);
-                self.heals.push((due_ms, Heal::TakeBack(zone)));
+                self.repairs.push((due_ms, Repair::TakeZoneBack(zone)));
             }
             Fault::Link(fault) => {
                 self.site.proxy().set_fault(Some(fault));
-                self.heals.push((due_ms, Heal::Link));
+                self.repairs.push((due_ms, Repair::LinkFault));
             }
             Fault::ResetLinks => self.site.proxy().break_connections(),
             Fault::SilenceLinks => self.site.proxy().silence_open_connections(),
             Fault::DrainBackend => {
                 self.site.drain_backend(index);
-                self.heals
-                    .push((self.now_ms() + DRAIN_MS, Heal::EndDrain(index)));
+                self.repairs
+                    .push((self.now_ms() + DRAIN_DURATION_MS, Repair::EndDrain(index)));
             }
             Fault::LapseEntry => {
-                // A living server's entry lapses only while the store is away, and is back soon after.
+                // The entry of a running server lapses only while the store is unavailable, and is back
+                // soon after.
                 self.site.store().set_fault(Some(StoreFault::Busy));
                 self.site.lapse_entry(index);
-                self.heals.push((due_ms, Heal::Store));
-                self.heals.push((due_ms + LAPSE_MS, Heal::Register(index)));
+                self.repairs.push((due_ms, Repair::StoreFault));
+                self.repairs
+                    .push((due_ms + ENTRY_LAPSE_MS, Repair::RewriteEntry(index)));
             }
             Fault::Store(fault) => {
                 self.site.store().set_fault(Some(fault));
-                self.heals.push((due_ms, Heal::Store));
+                self.repairs.push((due_ms, Repair::StoreFault));
             }
             Fault::TurnAway => {
                 let hosts =
                     [index, (index + 1) % BACKENDS].map(|index| self.site.agent_host(index));
                 self.site.store().reject_hosts(&hosts);
-                self.heals.push((due_ms, Heal::Serve));
+                self.repairs.push((due_ms, Repair::AcceptHosts));
             }
             Fault::ForgetHistory => self.site.store().forget_history(),
             Fault::HangUp => {
                 if let Some(process) = self.site.agent(index) {
-                    quietly(process.hang_up());
+                    ignore_signal_error(process.hang_up());
                 }
             }
             Fault::RestoreStore => {
                 self.site.store().set_fault(Some(StoreFault::Busy));
-                self.heals.push((due_ms, Heal::RestoreStore));
-                self.heals.push((due_ms, Heal::Store));
+                self.repairs.push((due_ms, Repair::RestoreStore));
+                self.repairs.push((due_ms, Repair::StoreFault));
             }
             Fault::SlowBackend => {
-                self.site.slow_backend(index, SLOW_TIMES);
-                self.heals.push((due_ms, Heal::Pace(index)));
+                self.site.slow_backend(index, SLOWDOWN);
+                self.repairs.push((due_ms, Repair::WorkMode(index)));
             }
             Fault::HangBackend => {
                 self.site.hang_backend(index);
-                self.heals.push((due_ms, Heal::Pace(index)));
+                self.repairs.push((due_ms, Repair::WorkMode(index)));
             }
             Fault::Rush => {
-                let end_ms = self.now_ms() + self.random.random_range(RUSH_MS);
-                self.site.start_rush(RUSH_TIMES);
-                self.heals.push((end_ms, Heal::Rush));
+                let end_ms = self.now_ms() + self.random.random_range(RUSH_DURATION_MS);
+                self.site.start_rush(RUSH_FACTOR);
+                self.repairs.push((end_ms, Repair::EndRush));
             }
             Fault::KillAll => self.kill_all(due_ms)?,
             Fault::KillAllInSilence => {
                 self.site.store().set_fault(Some(StoreFault::Silent));
-                self.kill_all(self.now_ms() + RESTART_MS)?;
-                self.heals.push((due_ms + RESTART_MS, Heal::Store));
+                self.kill_all(self.now_ms() + RESTART_DELAY_MS)?;
+                self.repairs
+                    .push((due_ms + RESTART_DELAY_MS, Repair::StoreFault));
             }
         }
         Ok(())
@@ -246,178 +260,204 @@
         for index in 0..BALANCERS {
             if let Some(process) = self.site.balancer(index) {
                 process.kill()?;
-                self.heals.push((due_ms, Heal::StartBalancer(index)));
+                self.repairs.push((due_ms, Repair::StartBalancer(index)));
             }
         }
         for index in 0..BACKENDS {
             if let Some(process) = self.site.agent(index) {
                 process.kill()?;
-                self.heals.push((due_ms, Heal::StartAgent(index)));
+                self.repairs.push((due_ms, Repair::StartAgent(index)));
             }
         }
         Ok(())
     }
 
-    async fn heal_due(&mut self) -> Result<()> {
+    /// Runs the repairs that are due.
+    async fn run_due_repairs(&mut self) -> Result<()> {
         let now_ms = self.now_ms();
-        let is_due = |(due_ms, _): &(u64, Heal)| *due_ms <= now_ms;
-        while let Some(index) = self.heals.iter().position(is_due) {
-            let (_, heal) = self.heals.remove(index);
-            self.heal(heal).await?;
+        let is_due = |(due_ms, _): &(u64, Repair)| *due_ms <= now_ms;
+        while let Some(index) = self.repairs.iter().position(is_due) {
+            let (_, repair) = self.repairs.remove(index);
+            self.repair(repair).await?;
         }
         Ok(())
     }
 
-    async fn heal_all(&mut self) -> Result<()> {
-        while !self.heals.is_empty() {
-            self.heal_due().await?;
-            compio::time::sleep(POLL).await;
+    /// Waits until all repairs are done and the site is ready.
+    async fn run_all_repairs(&mut self) -> Result<()> {
+        while !self.repairs.is_empty() {
+            self.run_due_repairs().await?;
+            compio::time::sleep(POLL_INTERVAL).await;
         }
         self.steps.push(format!("{} ms: all healed", self.now_ms()));
         self.site.wait_ready().await
     }
 
-    async fn heal(&mut self, heal: Heal) -> Result<()> {
-        match heal {
-            Heal::StartBalancer(index) => self.site.restart_balancer(index),
-            Heal::ThawBalancer(index) => self.site.balancer(index).map_or(Ok(()), thaw),
-            Heal::StartAgent(index) => self.site.restart_agent(index),
-            Heal::ThawAgent(index) => self.site.agent(index).map_or(Ok(()), thaw),
-            Heal::StartBackend { index, old_id } => {
+    async fn repair(&mut self, repair: Repair) -> Result<()> {
+        match repair {
+            Repair::StartBalancer(index) => self.site.restart_balancer(index),
+            Repair::ThawBalancer(index) => self.site.balancer(index).map_or(Ok(()), thaw_process),
+            Repair::StartAgent(index) => self.site.restart_agent(index),
+            Repair::ThawAgent(index) => self.site.agent(index).map_or(Ok(()), thaw_process),
+            Repair::StartBackend { index, old_id } => {
                 self.site.start_backend(index, 0).await?;
                 self.site.remove_entry(&old_id);
                 Ok(())
             }
-            Heal::StartUnderId { index, id } => {
+            Repair::StartBackendWithId { index, id } => {
                 self.site.start_backend_with_id(&id, index, 0).await
             }
-            Heal::EndDrain(index) => {
+            Repair::EndDrain(index) => {
                 if let Some(old_id) = self.site.crash_backend(index) {
                     self.site.remove_entry(&old_id);
                     self.site.start_backend(index, 0).await?;
                 }
                 Ok(())
             }
-            Heal::TakeBack(zone) => {
+            Repair::TakeZoneBack(zone) => {
                 self.site.take_zone_back(zone);
                 Ok(())
             }
-            Heal::Register(index) => {
+            Repair::RewriteEntry(index) => {
                 self.site.rewrite_entry(index);
                 Ok(())
             }
-            Heal::RestoreStore => {
+            Repair::RestoreStore => {
                 self.restore_store();
                 Ok(())
             }
-            Heal::WriteAgain => {
+            Repair::RewriteValues => {
                 self.site.rewrite_lost_values();
                 self.site.add_idle_route();
                 Ok(())
             }
-            Heal::ExpireDeadEntries => {
+            Repair::RemoveDeadEntries => {
                 self.site.remove_dead_entries();
                 Ok(())
             }
-            // Overlapping faults of one kind go on until the last one's end.
-            Heal::Pace(index)
+            // Overlapping faults of one kind last until the last one ends.
+            Repair::WorkMode(index)
                 if self
-                    .heals
+                    .repairs
                     .iter()
-                    .any(|(_, other)| *other == Heal::Pace(index)) =>
+                    .any(|(_, other)| *other == Repair::WorkMode(index)) =>
             {
                 Ok(())
             }
-            Heal::Pace(index) => {
+            Repair::WorkMode(index) => {
                 self.site.resume_normal_work(index);
                 Ok(())
             }
-            Heal::Rush if self.heals.iter().any(|(_, other)| *other == Heal::Rush) => Ok(()),
-            Heal::Rush => {
+            Repair::EndRush
+                if self
+                    .repairs
+                    .iter()
+                    .any(|(_, other)| *other == Repair::EndRush) =>
+            {
+                Ok(())
+            }
+            Repair::EndRush => {
                 self.site.end_rush();
                 Ok(())
             }
-            Heal::Store if self.heals.iter().any(|(_, other)| *other == Heal::Store) => Ok(()),
-            Heal::Store => {
+            Repair::StoreFault
+                if self
+                    .repairs
+                    .iter()
+                    .any(|(_, other)| *other == Repair::StoreFault) =>
+            {
+                Ok(())
+            }
+            Repair::StoreFault => {
                 self.site.store().set_fault(None);
                 Ok(())
             }
-            Heal::Link if self.heals.iter().any(|(_, other)| *other == Heal::Link) => Ok(()),
-            Heal::Link => {
+            Repair::LinkFault
+                if self
+                    .repairs
+                    .iter()
+                    .any(|(_, other)| *other == Repair::LinkFault) =>
+            {
+                Ok(())
+            }
+            Repair::LinkFault => {
                 self.site.proxy().set_fault(None);
                 Ok(())
             }
-            Heal::Serve => {
+            Repair::AcceptHosts => {
                 self.site.store().reject_hosts(&[]);
                 Ok(())
             }
         }
     }
 
-    /// Lets the store come back from the newest copy that is old enough; what it lost is written again soon.
+    /// Restores the store from the newest snapshot that is old enough, and schedules the rewrite of the
+    /// lost values.
     fn restore_store(&mut self) {
         let now_ms = self.now_ms();
-        let is_old = |(copied_ms, _): &&(u64, StoreSnapshot)| now_ms >= copied_ms + COPY_AGE_MS;
-        let Some((_, copy)) = self.copies.iter().rev().find(is_old) else {
+        let is_old = |(taken_ms, _): &&(u64, StoreSnapshot)| now_ms >= taken_ms + MIN_COPY_AGE_MS;
+        let Some((_, snapshot)) = self.snapshots.iter().rev().find(is_old) else {
             return;
         };
-        self.site.store().restore(copy);
-        let written_ms = now_ms + self.random.random_range(WRITE_AGAIN_MS);
-        self.heals.push((written_ms, Heal::WriteAgain));
-        self.heals
-            .push((now_ms + DEAD_ENTRIES_MS, Heal::ExpireDeadEntries));
+        self.site.store().restore(snapshot);
+        let rewrite_ms = now_ms + self.random.random_range(REWRITE_DELAY_MS);
+        self.repairs.push((rewrite_ms, Repair::RewriteValues));
+        self.repairs
+            .push((now_ms + DEAD_ENTRY_LEASE_MS, Repair::RemoveDeadEntries));
     }
 
-    /// Returns how many processes of the calm site have another configuration than the one that was confirmed last.
-    async fn processes_behind(&self, seed: u64) -> u64 {
+    /// Returns the number of processes of the calm site that do not have the newest configuration.
+    async fn count_outdated_processes(&self, seed: u64) -> u64 {
         if seed < RESTORE_SEED {
             return 0;
         }
         let balancers = (0..BALANCERS).map(|index| self.site.balancer_host(index));
         let agents = (0..BACKENDS).map(|index| self.site.agent_host(index));
         let newest = self.site.config_version() as f64;
-        let mut behind = 0;
+        let mut outdated = 0;
         for host in balancers.chain(agents) {
             let version = self.site.metric(host, "config_version").await;
-            behind += u64::from(version.ok() != Some(newest));
+            outdated += u64::from(version.ok() != Some(newest));
         }
-        behind
+        outdated
     }
 
-    /// Evacuates a zone of the calm site; returns how many openers its servers got after that had to be in force.
-    async fn openers_in_an_evacuated_zone(&self, seed: u64) -> u64 {
+    /// Evacuates a zone of the calm site and returns the number of openers that its servers get after
+    /// the evacuation has to be in force.
+    async fn count_openers_in_evacuated_zone(&self, seed: u64) -> u64 {
         if seed < EVACUATION_SEED {
             return 0;
         }
         let zone = self.site.backend_zone(seed as usize % BACKENDS);
         let in_zone = (0..BACKENDS).filter(|index| self.site.backend_zone(*index) == zone);
         let in_zone: Vec<usize> = in_zone.collect();
-        let opened = || {
+        let count_openers = || {
             in_zone
                 .iter()
                 .map(|index| self.site.openers_received(*index))
                 .sum::<usize>()
         };
         self.site.evacuate_zone(zone);
-        compio::time::sleep(Duration::from_millis(EVACUATION_MS)).await;
-        let before = opened();
-        compio::time::sleep(Duration::from_millis(WATCHED_MS)).await;
-        (opened() - before) as u64
+        compio::time::sleep(Duration::from_millis(EVACUATION_TIMEOUT_MS)).await;
+        let before = count_openers();
+        compio::time::sleep(Duration::from_millis(EVACUATION_CHECK_MS)).await;
+        (count_openers() - before) as u64
     }
 
-    fn judge(
+    /// Returns the summary of the run, or an error that lists the broken promises and the faults.
+    fn check_promises(
         &self,
         seed: u64,
         before: &CallTally,
         tally: &CallTally,
-        [evacuated, behind]: [u64; 2],
+        [evacuated_openers, outdated]: [u64; 2],
     ) -> Result<String> {
-        let ran = self.site.executed_requests();
+        let executed = self.site.executed_requests();
         let lost = tally
             .claims
             .iter()
-            .filter(|id| ran.binary_search(id).is_err());
-        let asked = tally.requests - before.requests;
+            .filter(|id| executed.binary_search(id).is_err());
+        let begun = tally.requests - before.requests;
         let answered = tally.answered - before.answered;
         let ended = tally.answered + tally.failed + tally.wrong;
         let broken = [
@@ -432,16 +472,17 @@
                 self.site.misdelivered_packets(),
             ),
             ("claims answered that did not run", lost.count() as u64),
-            ("openers at servers of an evacuated zone", evacuated),
-            ("processes with an older configuration", behind),
+            ("openers at servers of an evacuated zone", evacuated_openers),
+            ("processes with an older configuration", outdated),
             (
                 "requests neither answered nor failed within their limit",
                 tally.requests.saturating_sub(ended),
             ),
-            // Requests that began before the calm may end in it, so that more are answered than asked.
+            // Requests that began before the calm may be answered in it, so that more are answered than
+            // begin.
             (
                 "requests of the calm at the end not answered",
-                asked.saturating_sub(answered),
+                begun.saturating_sub(answered),
             ),
         ];
         let broken: Vec<String> = broken
@@ -465,19 +506,19 @@
     }
 }
 
-/// Ends a process, by a kill or in good order.
-fn end(process: &mut Process, kill: bool) -> Result<()> {
+/// Kills a process or asks it to terminate.
+fn stop_process(process: &mut Process, kill: bool) -> Result<()> {
     if kill {
         return process.kill();
     }
-    quietly(process.terminate());
+    ignore_signal_error(process.terminate());
     Ok(())
 }
 
-fn thaw(process: &mut Process) -> Result<()> {
-    quietly(process.thaw());
+fn thaw_process(process: &mut Process) -> Result<()> {
+    ignore_signal_error(process.thaw());
     Ok(())
 }
 
-/// Passes over a signal to a process that an earlier fault has ended already.
-fn quietly(_signalled: Result<()>) {}
+/// Ignores a failed signal: an earlier fault may have ended the process already.
+fn ignore_signal_error(_result: Result<()>) {}
--- a/lab/src/opaque/soak/faults.rs
+++ b/lab/src/opaque/soak/faults.rs
@@ -1,9 +1,9 @@
-//! What the soak does to a site, and what ends it.
+//! The faults that the soak injects into a site, and the repairs that end them.
 
 use crate::opaque::proxy::LinkFault;
 use crate::opaque::store::StoreFault;
 
-/// What is done to the site.
+/// A fault of the site. Reports print the variants by name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Fault {
     KillBalancer,
@@ -35,14 +35,17 @@
     Rush,
 }
 
-/// From which seed zones are evacuated, also at the end, when no process has an excuse.
+/// The first seed that evacuates zones, including one at the end, when all other faults are over.
 pub(super) const EVACUATION_SEED: u64 = 3_000;
-/// From which seed the store comes back from older copies, and the newest configuration is looked for at the end.
+/// The first seed that restores the store from older copies and checks at the end that all processes
+/// have the newest configuration.
 pub(super) const RESTORE_SEED: u64 = 4_000;
-/// From which seed callers have time for one attempt only and rush, and backend servers are slow or hang.
+/// The first seed with deadlines that allow only one attempt, with rushes, and with backend servers
+/// that are slow or hang.
 pub(super) const ONE_ATTEMPT_SEED: u64 = 5_000;
-/// From which seed how many of the faults are drawn, so that a kept seed goes on playing what it played.
-const DRAWN_FAULTS: [(u64, usize); 6] = [
+/// First seeds and how many of [`FAULTS`] are drawn from each on, so that a recorded seed keeps drawing
+/// the same faults when new ones are added.
+const FAULT_COUNTS: [(u64, usize); 6] = [
     (ONE_ATTEMPT_SEED, 31),
     (RESTORE_SEED, 28),
     (EVACUATION_SEED, 27),
@@ -50,6 +53,7 @@
     (1_000, 23),
     (0, 22),
 ];
+/// All faults, in the order in which they were added. New ones go to the end.
 const FAULTS: [Fault; 31] = [
     Fault::KillBalancer,
     Fault::StopBalancer,
@@ -84,31 +88,31 @@
     Fault::Rush,
 ];
 
-/// Returns the faults that a seed draws from.
-pub(super) fn faults_of(seed: u64) -> &'static [Fault] {
-    let mut drawn = DRAWN_FAULTS.iter();
-    let count = drawn.find(|(first_seed, _)| seed >= *first_seed);
+/// Returns the faults from which a seed draws.
+pub(super) fn faults_for_seed(seed: u64) -> &'static [Fault] {
+    let mut counts = FAULT_COUNTS.iter();
+    let count = counts.find(|(first_seed, _)| seed >= *first_seed);
     &FAULTS[..count.map_or(FAULTS.len(), |(_, count)| *count)]
 }
 
-/// What ends a fault.
+/// An action that ends a fault.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) enum Heal {
+pub(super) enum Repair {
     StartBalancer(usize),
     ThawBalancer(usize),
     StartAgent(usize),
     ThawAgent(usize),
     StartBackend { index: usize, old_id: String },
-    StartUnderId { index: usize, id: String },
+    StartBackendWithId { index: usize, id: String },
     EndDrain(usize),
-    TakeBack(&'static str),
-    Register(usize),
+    TakeZoneBack(&'static str),
+    RewriteEntry(usize),
     RestoreStore,
-    WriteAgain,
-    ExpireDeadEntries,
-    Pace(usize),
-    Rush,
-    Store,
-    Link,
-    Serve,
+    RewriteValues,
+    RemoveDeadEntries,
+    WorkMode(usize),
+    EndRush,
+    StoreFault,
+    LinkFault,
+    AcceptHosts,
 }
--- a/lab/src/opaque/store.rs
+++ b/lab/src/opaque/store.rs
@@ -1,4 +1,4 @@
-//! A stand-in for the platform's store: items, pages, watches, and its ways to fail.
+//! A stand-in for the platform's store, with pages, watches and faults.
 
 use std::cell::RefCell;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -18,24 +18,27 @@
 
 use crate::http_text::text;
 
-/// The header of all answers that tells how often the store came back from an older copy.
+/// The header of all answers with the era: how many times the store was restored from an older
+/// copy.
 const ERA_HEADER: &str = "store-era";
+/// The interval at which waiting calls check for changes.
 const WATCH_POLL: Duration = Duration::from_millis(10);
-/// How many items a page holds; fewer than the platform's, so that tests meet several pages.
+/// The maximum number of items in a page; smaller than the platform's, so that tests read several
+/// pages.
 const PAGE_ITEMS: usize = 8;
-/// From how many bytes of values a page ends, as the platform's pages do.
+/// The size of the values after which a page ends, in bytes, as on the platform.
 const PAGE_BYTES: usize = 1_000_000;
 
-/// How the store misbehaves.
+/// A fault of the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StoreFault {
-    /// It answers nothing.
+    /// It does not answer.
     Silent,
     /// It answers that it is busy.
     Busy,
     /// It answers that there are too many calls.
     TooMany,
-    /// It answers with bytes that are no JSON.
+    /// It answers with malformed JSON.
     Garbled,
 }
 
@@ -51,23 +54,26 @@
     items: Vec<Item>,
     events: Vec<Item>,
     revision: u64,
+    /// Changes up to this revision are no longer in `events`.
     forgotten_revision: u64,
     fault: Option<StoreFault>,
-    turned_away: Vec<Ipv4Addr>,
+    /// Hosts whose calls get status 503.
+    rejected_hosts: Vec<Ipv4Addr>,
+    /// The items and the revision that stale reads return, if they are frozen.
     stale: Option<(Vec<Item>, u64)>,
     calls: u64,
-    /// How often it has come back from an older copy.
+    /// The number of restores from an older copy.
     era: u64,
 }
 
-/// What a store held at some time, from which it can come back.
+/// The items of a store at one time, from which it can be restored.
 #[derive(Debug, Clone)]
 pub struct StoreSnapshot {
     items: Vec<Item>,
     revision: u64,
 }
 
-/// A running store, for whoever plays the operator.
+/// A handle to a running store, with which tests act as operators.
 #[derive(Debug, Clone)]
 pub struct StoreHandle {
     store: Rc<RefCell<Store>>,
@@ -80,7 +86,7 @@
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where the address is taken.
+    /// Returns code 5001 if the address is already in use.
     pub async fn start(address: SocketAddr) -> Result<Self> {
         let handle = Self {
             store: Rc::default(),
@@ -119,32 +125,32 @@
             value: value.map(|value| BASE64_STANDARD.encode(value)),
             revision: store.revision,
         };
-        store.items.retain(|known| known.key != key);
+        store.items.retain(|other| other.key != key);
         if item.value.is_some() {
-            let at = store.items.partition_point(|known| known.key < item.key);
+            let at = store.items.partition_point(|other| other.key < item.key);
             store.items.insert(at, item.clone());
         }
         store.events.push(item);
     }
 
-    /// Starts or ends a fault for all hosts.
+    /// Sets or clears a fault for all hosts.
     pub fn set_fault(&self, fault: Option<StoreFault>) {
         self.store.borrow_mut().fault = fault;
     }
 
-    /// Turns these hosts away, and serves the others.
+    /// Rejects the calls of these hosts, and of no others.
     pub fn reject_hosts(&self, hosts: &[Ipv4Addr]) {
-        self.store.borrow_mut().turned_away = hosts.to_vec();
+        self.store.borrow_mut().rejected_hosts = hosts.to_vec();
     }
 
-    /// Forgets the history of changes; waiting watches are told so.
+    /// Forgets the history of changes; waiting watches are answered with status 410.
     pub fn forget_history(&self) {
         let mut store = self.store.borrow_mut();
         store.forgotten_revision = store.revision;
         store.events.clear();
     }
 
-    /// Copies what the store holds.
+    /// Returns a snapshot of the items.
     pub fn snapshot(&self) -> StoreSnapshot {
         let store = self.store.borrow();
         StoreSnapshot {
@@ -153,31 +159,33 @@
         }
     }
 
-    /// Lets the store come back from an older copy: what was written since is gone, and revisions are given out again.
-    pub fn restore(&self, copy: &StoreSnapshot) {
+    /// Restores the store from a snapshot. Later writes are lost, and their revisions are used again.
+    pub fn restore(&self, snapshot: &StoreSnapshot) {
         let mut store = self.store.borrow_mut();
-        store.items = copy.items.clone();
-        store.revision = copy.revision;
-        store.events.retain(|item| item.revision <= copy.revision);
-        store.forgotten_revision = store.forgotten_revision.min(copy.revision);
+        store.items = snapshot.items.clone();
+        store.revision = snapshot.revision;
+        store
+            .events
+            .retain(|item| item.revision <= snapshot.revision);
+        store.forgotten_revision = store.forgotten_revision.min(snapshot.revision);
         store.stale = None;
         store.era += 1;
     }
 
-    /// Returns the keys of all items that start with a prefix.
+    /// Returns the keys of all items whose key starts with a prefix.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         let store = self.store.borrow();
         let keys = store.items.iter().map(|item| item.key.clone());
         keys.filter(|key| key.starts_with(prefix)).collect()
     }
 
-    /// Lets stale reads show the present state from now on, or the newest again.
+    /// Freezes the state that stale reads return, or lets them return the newest one again.
     pub fn freeze_stale_reads(&self, frozen: bool) {
         let mut store = self.store.borrow_mut();
         store.stale = frozen.then(|| (store.items.clone(), store.revision));
     }
 
-    /// Returns how many calls came in.
+    /// Returns the number of calls received.
     pub fn call_count(&self) -> u64 {
         self.store.borrow().calls
     }
@@ -193,16 +201,16 @@
         self.store.borrow_mut().calls += 1;
         let query = request.uri().query().unwrap_or("").to_owned();
         loop {
-            let (fault, turned_away) = {
+            let (fault, is_rejected) = {
                 let store = self.store.borrow();
-                let turned_away = store
-                    .turned_away
+                let is_rejected = store
+                    .rejected_hosts
                     .iter()
                     .any(|host| from == IpAddr::V4(*host));
-                (store.fault, turned_away)
+                (store.fault, is_rejected)
             };
             match fault {
-                _ if turned_away => return text(StatusCode::SERVICE_UNAVAILABLE, "{}"),
+                _ if is_rejected => return text(StatusCode::SERVICE_UNAVAILABLE, "{}"),
                 None => break,
                 Some(StoreFault::Silent) => compio::time::sleep(WATCH_POLL).await,
                 Some(StoreFault::Busy) => return text(StatusCode::SERVICE_UNAVAILABLE, "{}"),
@@ -219,12 +227,15 @@
 
     fn range(&self, query: &str) -> Answer {
         let store = self.store.borrow();
-        let stale = parameter(query, "staleOk") == "1";
+        let stale = query_parameter(query, "staleOk") == "1";
         let (items, revision) = match &store.stale {
             Some((items, revision)) if stale => (items, *revision),
             _ => (&store.items, store.revision),
         };
-        let (prefix, after) = (parameter(query, "prefix"), parameter(query, "after"));
+        let (prefix, after) = (
+            query_parameter(query, "prefix"),
+            query_parameter(query, "after"),
+        );
         let found: Vec<&Item> = items
             .iter()
             .filter(|item| item.key.starts_with(&prefix) && item.key > after)
@@ -238,7 +249,7 @@
                 bytes += item.value.as_ref().map_or(0, String::len);
                 fits
             })
-            .map(|item| event(item))
+            .map(|item| item_json(item))
             .collect();
         let has_more = page.len() < found.len();
         let body = json!({"items": page, "hasMore": has_more, "storeRevision": revision});
@@ -246,9 +257,9 @@
     }
 
     async fn watch(&self, query: &str) -> Answer {
-        let after: u64 = parameter(query, "after").parse().unwrap_or(0);
-        let wait_ms: u64 = parameter(query, "waitMs").parse().unwrap_or(0);
-        let prefix = parameter(query, "prefix");
+        let after: u64 = query_parameter(query, "after").parse().unwrap_or(0);
+        let wait_ms: u64 = query_parameter(query, "waitMs").parse().unwrap_or(0);
+        let prefix = query_parameter(query, "prefix");
         let until = Instant::now() + Duration::from_millis(wait_ms);
         loop {
             {
@@ -259,7 +270,7 @@
                 let newer = store.events.iter();
                 let newer =
                     newer.filter(|item| item.revision > after && item.key.starts_with(&prefix));
-                let events: Vec<Value> = newer.map(event).collect();
+                let events: Vec<Value> = newer.map(item_json).collect();
                 if store.fault.is_none() && (!events.is_empty() || Instant::now() >= until) {
                     let body = json!({"events": events, "storeRevision": store.revision});
                     return text(StatusCode::OK, body.to_string());
@@ -270,14 +281,14 @@
     }
 }
 
-fn parameter(query: &str, name: &str) -> String {
+fn query_parameter(query: &str, name: &str) -> String {
     let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
     let mut found = pairs.filter(|(key, _)| *key == name);
     let value = found.next().map_or("", |(_, value)| value);
     percent_decode_str(value).decode_utf8_lossy().into_owned()
 }
 
-fn event(item: &Item) -> Value {
+fn item_json(item: &Item) -> Value {
     match &item.value {
         Some(value) => json!({
             "key": item.key, "value": value, "revision": item.revision, "createdRev": item.revision,
