--- a/src/code.rs
+++ b/src/code.rs
@@ -1,11 +1,11 @@
-//! Numbered result codes: every refusal, error and dropped packet has one.
+//! Numbered result codes for every refusal, error and dropped packet.
 //!
 //! Operators search logs and dashboards for the number, so a number never changes its meaning.
-//! `docs/CODES.md` is the same table for readers; a test keeps the two equal.
+//! `docs/CODES.md` lists the same table; a test checks that the two are equal.
 
 macro_rules! codes {
     ($($number:literal $name:ident $meaning:literal, $remedy:literal;)*) => {
-        /// A numbered result; see docs/CODES.md.
+        /// A numbered result code; see docs/CODES.md.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
         #[repr(u16)]
         pub enum Code {
@@ -13,10 +13,10 @@
         }
 
         impl Code {
-            /// Every code in rising order.
+            /// All codes in ascending order.
             pub const ALL: &'static [Code] = &[$(Code::$name),*];
 
-            /// Returns the code of this number, if there is one.
+            /// Returns the code with this number, if it exists.
             pub fn from_number(number: u16) -> Option<Code> {
                 match number {
                     $($number => Some(Code::$name),)*
@@ -24,14 +24,14 @@
                 }
             }
 
-            /// Says what happened, in a few words.
+            /// Returns a short description of what happened.
             pub fn meaning(self) -> &'static str {
                 match self {
                     $(Code::$name => $meaning,)*
                 }
             }
 
-            /// Says what the reader of the code should do.
+            /// Returns what the operator or caller should do about it.
             pub fn remedy(self) -> &'static str {
                 match self {
                     $(Code::$name => $remedy,)*
@@ -107,12 +107,12 @@
 }
 
 impl Code {
-    /// Returns the number that logs, headers and docs use.
+    /// Returns the number, as used in logs, headers and docs.
     pub fn number(self) -> u16 {
         self as u16
     }
 
-    /// Tells whether the code states that the backend server never saw the request.
+    /// Returns whether the code guarantees that the backend server never got the request.
     pub fn is_not_run(self) -> bool {
         (1001..=1099).contains(&self.number())
     }
--- a/src/error.rs
+++ b/src/error.rs
@@ -1,15 +1,15 @@
-//! The one error type of the library.
+//! The error type of the library.
 
 use std::fmt;
 
 use crate::code::Code;
 
-/// An error with its number, what went wrong and what to do about it.
+/// An error: a numbered code, which has a meaning and a remedy, and a message about this occurrence.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Error {
-    /// The number under which docs/CODES.md explains the error.
+    /// The code, which docs/CODES.md explains.
     pub code: Code,
-    /// What went wrong, with the row, key or address concerned.
+    /// What went wrong, with the row, key or address in question.
     pub message: String,
 }
 
@@ -17,7 +17,7 @@
 pub type Result<T, E = Error> = std::result::Result<T, E>;
 
 impl Error {
-    /// Makes an error of `code` about what `message` names.
+    /// Creates an error from a code and a message.
     pub fn new(code: Code, message: impl Into<String>) -> Self {
         Self {
             code,
--- a/src/explain/cause.rs
+++ b/src/explain/cause.rs
@@ -1,11 +1,11 @@
-//! What the lines of a story mean, in words.
+//! Explains in words what the lines of a trace mean.
 
 use crate::code::Code;
 use crate::explain::log_line::LogLine;
-use crate::explain::story::Story;
+use crate::explain::trace::Trace;
 
-/// The meaning of an event, where a field has a value that begins so; the empty field always fits.
-struct Meaning {
+/// The meaning of an event whose `field` has a value that starts with `value`; an empty `field` always matches.
+struct EventMeaning {
     event: &'static str,
     field: &'static str,
     value: &'static str,
@@ -17,8 +17,8 @@
     field: &'static str,
     value: &'static str,
     text: &'static str,
-) -> Meaning {
-    Meaning {
+) -> EventMeaning {
+    EventMeaning {
         event,
         field,
         value,
@@ -26,8 +26,8 @@
     }
 }
 
-/// What ends a request, the most telling first.
-const MEANINGS: [Meaning; 24] = [
+/// What may have happened to a request or flow, the most specific first; only the first match is reported.
+const CAUSES: [EventMeaning; 24] = [
     meaning(
         "request_lost",
         "reason",
@@ -62,13 +62,13 @@
         "flow_reset",
         "code",
         "4010",
-        "no route led to the address that it called, by the values of that process",
+        "the process had no route to the address that the caller called",
     ),
     meaning(
         "flow_reset",
         "code",
         "4012",
-        "the backend server that held its flow ended, and its caller was told at once",
+        "the backend server that held its flow ended, and the flow was reset at once",
     ),
     meaning(
         "flow_reset",
@@ -80,7 +80,7 @@
         "flow_reset",
         "code",
         "4013",
-        "nobody took its opener, and its caller was told so; nothing ran",
+        "nobody took its opener, and the flow was reset; nothing ran",
     ),
     meaning(
         "flow_reset",
@@ -98,7 +98,7 @@
         "lookup_given_up",
         "settled",
         "false",
-        "the flow was not found, and not reset: the agent could not yet know who may hold it",
+        "the flow was not found, and not reset: the agent could not yet know all that may hold it",
     ),
     meaning(
         "lookup_given_up",
@@ -128,13 +128,13 @@
         "opener_dropped",
         "",
         "",
-        "nobody had room for a copy of its opener, and its caller sent the next one",
+        "no backend server had room for a copy of its opener, and its caller sent it again",
     ),
     meaning(
         "opener_waits",
         "",
         "",
-        "its opener came while its balancer had no configuration, and was not forwarded then",
+        "its opener arrived while its balancer had no configuration, and was not forwarded then",
     ),
     meaning(
         "opener_declined",
@@ -146,7 +146,7 @@
         "opener_unanswered",
         "",
         "",
-        "an agent did not answer for its opener in time, and another got it",
+        "an agent did not confirm its opener in time, and another got it",
     ),
     meaning(
         "opener_not_taken",
@@ -174,15 +174,15 @@
     ),
 ];
 
-/// What changes of belief beside a story add to it.
-const CIRCUMSTANCES: [Meaning; 16] = [
+/// The meanings of context lines, which may have contributed; each match is reported.
+const CONTEXT_MEANINGS: [EventMeaning; 16] = [
     meaning(
         "lines_dropped",
         "",
         "",
-        "lines are missing there: more was to be said than the budget allows",
+        "lines are missing there: it logged more than its budget allows",
     ),
-    meaning("resumed", "", "", "the process had stood still before"),
+    meaning("resumed", "", "", "the process had been paused before"),
     meaning("start", "", "", "the process had just started"),
     meaning(
         "waiting_for_configuration",
@@ -218,19 +218,19 @@
         "zone_evacuated",
         "",
         "",
-        "it learnt then that an availability zone is evacuated",
+        "it read then that an availability zone is evacuated",
     ),
     meaning(
         "zone_taken_back",
         "",
         "",
-        "it learnt then that an evacuated availability zone is back in service",
+        "it read then that an evacuated availability zone is back in service",
     ),
     meaning(
         "history_forgotten",
         "",
         "",
-        "the platform no longer had the changes that it asked for",
+        "the platform no longer had the changes that it requested",
     ),
     meaning(
         "platform_restored",
@@ -242,13 +242,13 @@
         "platform_settled",
         "",
         "",
-        "it took then that what the platform lost was written again",
+        "it assumed then that everything the platform had lost was written again",
     ),
     meaning(
         "values_dropped",
         "",
         "",
-        "it was told other values than those in force and took them for older",
+        "it received values that differ from those in force and discarded them as older",
     ),
     meaning(
         "platform_fails",
@@ -264,45 +264,45 @@
     ),
 ];
 
-/// Returns the causes that a story shows, a line each.
-pub(crate) fn causes(story: &Story<'_>) -> Vec<String> {
-    let mut causes = Vec::new();
-    if let Some((meaning, line)) = first_that_fits(&MEANINGS, story) {
-        causes.push(format!("cause: {} ({})", meaning.text, line.process));
+/// Returns the cause that a trace shows with its remedy, then its context, one line each.
+pub(crate) fn describe_causes(trace: &Trace<'_>) -> Vec<String> {
+    let mut descriptions = Vec::new();
+    if let Some((meaning, line)) = first_match(&CAUSES, trace) {
+        descriptions.push(format!("cause: {} ({})", meaning.text, line.process));
         if let Some(code) = line.field("code").and_then(|code| code.parse().ok())
             && let Some(code) = Code::from_number(code)
         {
-            causes.push(format!("remedy of E{}: {}", code.number(), code.remedy()));
+            descriptions.push(format!("remedy of E{}: {}", code.number(), code.remedy()));
         }
     }
-    for meaning in &CIRCUMSTANCES {
-        let mut processes: Vec<&str> = story
+    for meaning in &CONTEXT_MEANINGS {
+        let mut processes: Vec<&str> = trace
             .lines
             .iter()
-            .filter(|line| fits(meaning, line))
+            .filter(|line| matches(meaning, line))
             .map(|line| line.process)
             .collect();
         processes.sort_unstable();
         processes.dedup();
         for process in processes {
-            causes.push(format!("beside it: {} ({process})", meaning.text));
+            descriptions.push(format!("beside it: {} ({process})", meaning.text));
         }
     }
-    causes
+    descriptions
 }
 
-fn first_that_fits<'a, 'b>(
-    meanings: &'b [Meaning],
-    story: &'b Story<'a>,
-) -> Option<(&'b Meaning, &'b LogLine<'a>)> {
+fn first_match<'a, 'b>(
+    meanings: &'b [EventMeaning],
+    trace: &'b Trace<'a>,
+) -> Option<(&'b EventMeaning, &'b LogLine<'a>)> {
     meanings.iter().find_map(|meaning| {
-        let mut lines = story.lines.iter();
-        let line = lines.find(|line| fits(meaning, line))?;
+        let mut lines = trace.lines.iter();
+        let line = lines.find(|line| matches(meaning, line))?;
         Some((meaning, line))
     })
 }
 
-fn fits(meaning: &Meaning, line: &LogLine<'_>) -> bool {
+fn matches(meaning: &EventMeaning, line: &LogLine<'_>) -> bool {
     if line.event != meaning.event {
         return false;
     }
--- a/src/explain/log_line.rs
+++ b/src/explain/log_line.rs
@@ -1,23 +1,23 @@
-//! One line that a process of the product wrote, taken apart again.
+//! Parses the log lines that the processes write.
 
-/// What each line begins with; see docs/OPERATIONS.md, "Log lines".
+/// The key at the start of each line; see docs/OPERATIONS.md, "Log lines".
 const TIME_KEY: &str = "time_ms=";
 
-/// A log line with borrowed fields.
+/// A parsed log line, which borrows from the text.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LogLine<'a> {
-    /// When it was written, by the clock of its host.
+    /// The wall-clock time at which it was written, on its host.
     pub time_ms: u64,
-    /// Who wrote it.
+    /// The process that wrote it: a host, or the name before the line or of the file.
     pub process: &'a str,
-    /// What it says.
+    /// The value of the field `event`.
     pub event: &'a str,
-    /// The fields after it, in their order.
+    /// The fields after the event, in the order of the line.
     pub fields: Vec<(&'a str, &'a str)>,
 }
 
 impl<'a> LogLine<'a> {
-    /// Returns the value of a field.
+    /// Returns the value of the field `key`, if the line has it.
     pub fn field(&self, key: &str) -> Option<&'a str> {
         let mut fields = self.fields.iter();
         fields
@@ -26,19 +26,19 @@
     }
 }
 
-/// Reads the lines of one text; lines of other programs are passed over.
+/// Parses the lines of one text and skips lines of other programs.
 ///
-/// Tools that gather the lines of several processes put a name before each. Where there is none, the host
-/// that the process named at its start counts, and before that `name`.
+/// Tools that collect the lines of several processes put a name before each line. Without such a name, the
+/// process is the host that its start line names, or `name` before any start line.
 pub fn parse_log<'a>(name: &'a str, text: &'a str) -> Vec<LogLine<'a>> {
     let mut process = name;
     let mut lines = Vec::new();
     for line in text.lines() {
-        let Some(at) = line.find(TIME_KEY) else {
+        let Some(start) = line.find(TIME_KEY) else {
             continue;
         };
-        let prefix = line[..at].split_whitespace().next_back();
-        let Some(mut parsed) = parse_fields(&line[at..]) else {
+        let prefix = line[..start].split_whitespace().next_back();
+        let Some(mut parsed) = parse_fields(&line[start..]) else {
             continue;
         };
         if parsed.event == "start"
@@ -52,20 +52,20 @@
     lines
 }
 
-/// Splits a line at its keys; a value reaches up to the next one, since errors are told in words.
+/// Splits a line at its keys. A value extends to the next key, since error texts contain spaces.
 fn parse_fields(line: &str) -> Option<LogLine<'_>> {
     let mut fields: Vec<(&str, usize, usize)> = Vec::new();
-    let mut at = 0;
+    let mut offset = 0;
     for word in line.split(' ') {
         if let Some((key, _)) = word.split_once('=')
             && is_key(key)
         {
             if let Some(last) = fields.last_mut() {
-                last.2 = at - 1;
+                last.2 = offset - 1;
             }
-            fields.push((key, at + key.len() + 1, line.len()));
+            fields.push((key, offset + key.len() + 1, line.len()));
         }
-        at += word.len() + 1;
+        offset += word.len() + 1;
     }
     let fields: Vec<(&str, &str)> = fields
         .into_iter()
--- a/src/explain/mod.rs
+++ b/src/explain/mod.rs
@@ -2,34 +2,36 @@
 
 mod cause;
 mod log_line;
-mod story;
+mod trace;
 
 use crate::code::Code;
 use crate::error::{Error, Result};
 
 pub use crate::explain::log_line::{LogLine, parse_log};
-use crate::explain::story::Story;
+use crate::explain::trace::Trace;
 
-/// Tells the story of a request id or of a flow, as `CALLER:PORT>ADDRESS:PORT`, from texts of log lines,
-/// each with the name that its lines get where they don't name their process.
+/// Explains what happened to a request id or to a flow (`CALLER:PORT>ADDRESS:PORT`): first the causes, then the
+/// log lines that concern it.
+///
+/// `logs` holds the name and text of each log file; the name stands in for the process where lines don't name one.
 ///
 /// # Errors
 ///
-/// Returns code 2501 where no line names it.
+/// Returns code 2501 if no line names the request or flow.
 pub fn explain(id: &str, logs: &[(String, String)]) -> Result<String> {
     let mut lines: Vec<LogLine<'_>> = Vec::new();
     for (name, text) in logs {
         lines.extend(parse_log(name, text));
     }
-    let story = Story::of(id, &lines).ok_or_else(|| Error::new(Code::LogSilent, id))?;
+    let trace = Trace::collect(id, &lines).ok_or_else(|| Error::new(Code::LogSilent, id))?;
     let mut text = String::new();
-    for cause in cause::causes(&story) {
+    for cause in cause::describe_causes(&trace) {
         text.push_str(&cause);
         text.push('\n');
     }
     text.push('\n');
-    let first_ms = story.lines.first().map_or(0, |line| line.time_ms);
-    for line in &story.lines {
+    let first_ms = trace.lines.first().map_or(0, |line| line.time_ms);
+    for line in &trace.lines {
         let after_ms = line.time_ms - first_ms;
         let (process, event) = (line.process, line.event);
         text.push_str(&format!("{after_ms:>7} ms  {process:<20} {event}"));
--- a/src/process/clock.rs
+++ b/src/process/clock.rs
@@ -1,10 +1,10 @@
-//! The one place that reads clocks; everything else is told the time.
+//! The clocks of the process. Other code gets the time as an argument instead of reading a clock.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 const INCARNATION_TICK_MS: u128 = 64;
 
-/// Milliseconds since the process started, from a clock that never goes back.
+/// A monotonic clock that counts milliseconds since the start of the process.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Clock {
     start: Instant,
@@ -22,19 +22,19 @@
     }
 }
 
-/// Returns a number for this start of the process: later starts have higher ones.
+/// Returns the incarnation number of a process that starts now; later starts get higher numbers.
 ///
 /// It counts ticks of the wall clock and wraps after eight years, which no process reaches.
 pub(crate) fn incarnation() -> u32 {
-    (since_epoch().as_millis() / INCARNATION_TICK_MS) as u32
+    (duration_since_epoch().as_millis() / INCARNATION_TICK_MS) as u32
 }
 
-/// Returns the time of the wall clock in milliseconds, by which lines of several processes are put in order.
-pub(crate) fn wall_ms() -> u64 {
-    since_epoch().as_millis() as u64
+/// Returns the Unix time in milliseconds, by which log lines of several processes are sorted.
+pub(crate) fn unix_time_ms() -> u64 {
+    duration_since_epoch().as_millis() as u64
 }
 
-fn since_epoch() -> Duration {
+fn duration_since_epoch() -> Duration {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     since_epoch.unwrap_or(Duration::ZERO)
 }
--- a/src/process/code_counter.rs
+++ b/src/process/code_counter.rs
@@ -1,4 +1,4 @@
-//! A counter that is split by result code.
+//! A counter with the result code as its label.
 
 use std::sync::atomic::AtomicU64;
 
@@ -8,13 +8,13 @@
 
 use crate::code::Code;
 
-/// The label of counters that are split by result code.
+/// The metric label that holds the number of a result code.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct CodeLabel {
     code: u32,
 }
 
-/// A counter for each result code.
+/// A family of counters, one for each result code.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct CodeCounter(Family<CodeLabel, Counter<u64, AtomicU64>>);
 
@@ -24,7 +24,7 @@
         self.0.get_or_create(&CodeLabel { code }).inc();
     }
 
-    /// Returns the counters as they are registered.
+    /// Returns a handle to the counters for registration.
     pub(crate) fn family(&self) -> Family<CodeLabel, Counter<u64, AtomicU64>> {
         self.0.clone()
     }
--- a/src/process/counted_stream.rs
+++ b/src/process/counted_stream.rs
@@ -1,4 +1,4 @@
-//! A stream that counts its bytes, since control traffic has a budget.
+//! A stream that counts its bytes in the metrics, since control traffic has a budget.
 
 use std::io;
 use std::pin::Pin;
@@ -11,7 +11,7 @@
 
 use crate::process::metrics::Metrics;
 
-/// A TCP stream of a control link.
+/// The TCP stream of a control link, which counts the bytes that it reads and writes.
 pub(crate) struct CountedStream {
     inner: Pin<Box<AsyncStream<TcpStream>>>,
     metrics: Rc<Metrics>,
--- a/src/process/http_client.rs
+++ b/src/process/http_client.rs
@@ -1,4 +1,4 @@
-//! Plain HTTP/1.1 requests, as towards the configuration service.
+//! An HTTP/1.1 client without TLS, for the configuration service and backend servers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,15 +14,15 @@
 use crate::code::Code;
 use crate::error::{Error, Result};
 
-/// The longest answer that is taken, in bytes: a page of the users' platform holds about a megabyte, of which the
-/// last value may bring another one, and both grow by a third as base64.
+/// The longest response body: a page of the users' platform holds about a megabyte, its last value may add
+/// another megabyte, and base64 adds a third to both.
 const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// Opens a connection on which requests can be sent.
+/// Opens an HTTP/1.1 connection and returns its request sender.
 ///
 /// # Errors
 ///
-/// Returns code 5001 where the connection can't be made.
+/// Returns code 5001 if the connection fails.
 pub async fn connect<B>(address: SocketAddr) -> Result<http1::SendRequest<B>>
 where
     B: Body<Data = Bytes, Error: Into<Box<dyn std::error::Error + Send + Sync>>> + 'static,
@@ -32,18 +32,18 @@
     let handshake = http1::handshake(HyperStream::new_plain(stream)).await;
     let (sender, connection) = handshake.map_err(io_error)?;
     compio::runtime::spawn(async move {
-        // The sender sees the same failure, so it is reported there.
+        // The sender returns the same error, so it is not reported here.
         let _ = connection.await;
     })
     .detach();
     Ok(sender)
 }
 
-/// Sends a request with an empty or whole body and reads the whole answer.
+/// Sends a request on a connection of its own and reads the whole response.
 ///
 /// # Errors
 ///
-/// Returns code 5001 for a failure and after `timeout_ms`.
+/// Returns code 5001 if the exchange fails or exceeds `timeout_ms`, and code 5006 if the response is too large.
 pub async fn send_request(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
@@ -52,17 +52,17 @@
     let exchange = async {
         let mut sender = connect(address).await?;
         let response = sender.send_request(request).await.map_err(io_error)?;
-        collect(response).await
+        read_body(response).await
     };
     let result = compio::time::timeout(Duration::from_millis(timeout_ms), exchange).await;
     result.unwrap_or_else(|_| Err(Error::new(Code::Io, format!("{address}: timed out"))))
 }
 
-/// Gets a path and reads the whole answer.
+/// Sends a GET request for `path` and reads the whole response.
 ///
 /// # Errors
 ///
-/// Returns code 5001 for a failure and after `timeout_ms`.
+/// Returns the errors of [`send_request`].
 pub async fn get(address: SocketAddr, path: &str, timeout_ms: u64) -> Result<Response<Bytes>> {
     let request = Request::get(path)
         .header(http::header::HOST, address.to_string())
@@ -71,7 +71,7 @@
     send_request(address, request, timeout_ms).await
 }
 
-async fn collect(response: Response<Incoming>) -> Result<Response<Bytes>> {
+async fn read_body(response: Response<Incoming>) -> Result<Response<Bytes>> {
     let (parts, body) = response.into_parts();
     let body = Limited::new(body, MAX_BODY_BYTES).collect().await;
     let body = body.map_err(|error| {
@@ -84,7 +84,7 @@
     Ok(Response::from_parts(parts, body.to_bytes()))
 }
 
-/// Makes an error of the HTTP library one of ours.
+/// Converts an error of the HTTP library to code 5001.
 pub(crate) fn io_error(error: hyper::Error) -> Error {
     Error::new(Code::Io, error.to_string())
 }
--- a/src/process/http_server.rs
+++ b/src/process/http_server.rs
@@ -1,4 +1,4 @@
-//! A plain HTTP/1.1 server, as for `/metrics`.
+//! An HTTP/1.1 server without TLS, for example for `/metrics`.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -11,28 +11,28 @@
 use hyper::body::{Body, Incoming};
 use hyper::service::service_fn;
 
-/// Serves every connection of `listener` with `answer`, forever.
-pub async fn serve<A, F, B>(listener: TcpListener, answer: A)
+/// Accepts connections of `listener` forever and answers their requests with `handler`.
+pub async fn serve<H, F, B>(listener: TcpListener, handler: H)
 where
-    A: Fn(Request<Incoming>) -> F + 'static,
+    H: Fn(Request<Incoming>) -> F + 'static,
     F: Future<Output = Response<B>> + 'static,
     B: Body<Data = Bytes, Error: Into<Box<dyn std::error::Error + Send + Sync>>> + 'static,
 {
-    let answer = Rc::new(answer);
+    let handler = Rc::new(handler);
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             continue;
         };
-        let answer = answer.clone();
-        let served = serve_connection(stream, move |request| answer(request));
-        compio::runtime::spawn(served).detach();
+        let handler = handler.clone();
+        let connection = serve_connection(stream, move |request| handler(request));
+        compio::runtime::spawn(connection).detach();
     }
 }
 
-/// Serves one connection with `answer` until it closes.
-pub async fn serve_connection<A, F, B>(stream: TcpStream, answer: A)
+/// Answers the requests of one connection with `handler` until it closes.
+pub async fn serve_connection<H, F, B>(stream: TcpStream, handler: H)
 where
-    A: Fn(Request<Incoming>) -> F + 'static,
+    H: Fn(Request<Incoming>) -> F + 'static,
     F: Future<Output = Response<B>> + 'static,
     B: Body<Data = Bytes, Error: Into<Box<dyn std::error::Error + Send + Sync>>> + 'static,
 {
@@ -40,11 +40,11 @@
         return;
     }
     let service = service_fn(|request| {
-        let response = answer(request);
+        let response = handler(request);
         async move { Ok::<_, Infallible>(response.await) }
     });
     let connection = hyper::server::conn::http1::Builder::new()
         .serve_connection(HyperStream::new_plain(stream), service);
-    // A failed connection concerns its client alone, which sees it too.
+    // A failed connection affects only its client, which gets the error too.
     let _ = connection.await;
 }
--- a/src/process/logging.rs
+++ b/src/process/logging.rs
@@ -1,4 +1,4 @@
-//! Log lines: one for each change of state, with a time, a level and the part that speaks.
+//! Sets up logging: one line for each change of state, with its time, level and source module.
 
 use std::path::Path;
 
@@ -6,24 +6,24 @@
 
 use crate::code::Code;
 use crate::error::{Error, Result};
-use crate::process::clock::wall_ms;
+use crate::process::clock::unix_time_ms;
 use crate::process::log_output::LogOutput;
 
-/// Starts logging from a level on, to a file or else to standard output.
+/// Starts logging of lines at `level` and above, to a file or else to standard output.
 ///
 /// # Errors
 ///
-/// Returns code 5001 where the log file can't be opened or logging runs already.
+/// Returns code 5001 if the log file can't be opened or logging was already started.
 pub(crate) fn start(level: log::LevelFilter, file: Option<&Path>, dropped: &Counter) -> Result<()> {
     let dispatch = fern::Dispatch::new()
         .level(log::LevelFilter::Error)
         .level_for("endivedyke", level)
-        // What a platform's adapter says is a crate of its own.
+        // The adapter of the platform is a crate of its own.
         .level_for("endivedyke_platform", level)
         .format(|out, message, record| {
             out.finish(format_args!(
                 "time_ms={} level={} part={} {message}",
-                wall_ms(),
+                unix_time_ms(),
                 record.level(),
                 part(record.target())
             ));
@@ -39,7 +39,7 @@
     applied.map_err(|error| Error::new(Code::Io, error.to_string()))
 }
 
-/// Shortens the path of a module to its last name.
+/// Returns the last segment of a module path.
 fn part(target: &str) -> &str {
     target.rsplit("::").next().unwrap_or(target)
 }
--- a/src/process/metrics.rs
+++ b/src/process/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and gauges of a process, read at `/metrics`.
+//! The counters and gauges of a process, served at `/metrics`.
 
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::gauge::Gauge;
@@ -9,7 +9,7 @@
 use crate::process::code_counter::CodeCounter;
 use crate::process::opaque_metrics::OpaqueMetrics;
 
-/// All metrics; a balancer and an agent each use those that fit them.
+/// All metrics of a balancer or agent; each sets only those that apply to it.
 #[derive(Debug, Default)]
 pub(crate) struct Metrics {
     pub(crate) packets_in: Counter,
@@ -97,7 +97,7 @@
         counter("flows_accepted", "Flows accepted", &self.flows_accepted);
         counter(
             "flows_deflected",
-            "Openers handed to a peer",
+            "Openers forwarded to a peer",
             &self.flows_deflected,
         );
         counter(
@@ -111,7 +111,7 @@
         let requests = self.requests.family();
         registry.register(
             "requests",
-            "Requests that have their final answer, by code",
+            "Requests with a final answer, by code",
             requests,
         );
     }
@@ -147,12 +147,12 @@
         );
         counter(
             "pauses",
-            "Pauses of this process that its clock showed",
+            "Pauses of this process that its clock detected",
             &self.pauses,
         );
         counter(
             "log_lines_dropped",
-            "Log lines over the budget, or that nobody read in time",
+            "Log lines dropped because they were over the budget or their reader was stalled",
             &self.log_lines_dropped,
         );
         registry.register(
@@ -162,12 +162,12 @@
         );
         registry.register(
             "config_version",
-            "Version of the routes in force, as their operators count; 0 where they give none",
+            "Version of the routes in force, as set by the operators; 0 if they set none",
             self.config_version.clone(),
         );
         registry.register(
             "services_open",
-            "Services whose packets this process takes",
+            "Services whose packets this process accepts",
             self.services_open.clone(),
         );
         let mut by_code = |name: &str, help: &str, counter: &CodeCounter| {
--- a/src/process/mod.rs
+++ b/src/process/mod.rs
@@ -1,7 +1,7 @@
-//! The plumbing that every process has: timers, sockets, HTTP, log lines, metrics.
+//! What every process needs: timers, sockets, HTTP, logging, metrics.
 //!
-//! The rule that lives here: nothing waits for who reads lines or metrics, and a pause of the host is
-//! noticed. It knows nothing of what is published or decided, and uses no other folder.
+//! A slow reader of log lines or metrics never blocks the process, and a pause of the host is detected. This
+//! folder uses no other folder and has no part in configuration or load balancing.
 
 pub(crate) mod clock;
 pub(crate) mod code_counter;
--- a/src/process/opaque_metrics.rs
+++ b/src/process/opaque_metrics.rs
@@ -1,4 +1,4 @@
-//! What a process counts of opaque flows; see docs/OPERATIONS.md, "Metrics".
+//! The metrics of opaque flows; see docs/OPERATIONS.md, "Metrics".
 
 use std::sync::atomic::AtomicU64;
 
@@ -9,12 +9,12 @@
 
 use crate::process::code_counter::CodeCounter;
 
-/// Bounds of times in seconds: from a millisecond, doubled to about eight seconds, the longest time
-/// limit of the users' requests.
-const FIRST_BOUND_S: f64 = 0.001;
-const BOUNDS: u16 = 14;
+/// Histogram buckets: the bounds double from a millisecond to about eight seconds, the longest timeout of the
+/// users' requests.
+const FIRST_BUCKET_BOUND_S: f64 = 0.001;
+const BUCKET_COUNT: u16 = 14;
 
-/// Counters, gauges and histograms, shared by all who hold a clone.
+/// Counters, gauges and histograms; clones share their values.
 #[derive(Debug, Clone)]
 pub struct OpaqueMetrics {
     pub(crate) openers_taken: Counter,
@@ -60,7 +60,8 @@
 
 impl Default for OpaqueMetrics {
     fn default() -> Self {
-        let times = || Histogram::new(exponential_buckets(FIRST_BOUND_S, 2.0, BOUNDS));
+        let seconds_histogram =
+            || Histogram::new(exponential_buckets(FIRST_BUCKET_BOUND_S, 2.0, BUCKET_COUNT));
         Self {
             openers_taken: Counter::default(),
             openers_handed_on: Counter::default(),
@@ -72,7 +73,7 @@
             flows_reset: CodeCounter::default(),
             flows_open: Gauge::default(),
             requests_busy: Gauge::default(),
-            request_seconds: times(),
+            request_seconds: seconds_histogram(),
             requests_lost: Counter::default(),
             requests_shed: Counter::default(),
             requests_held_back: Counter::default(),
@@ -81,7 +82,7 @@
             openers_queued: Counter::default(),
             openers_refused: Counter::default(),
             openers_waiting: Gauge::default(),
-            opener_wait_seconds: times(),
+            opener_wait_seconds: seconds_histogram(),
             backend_stalls: Counter::default(),
             packets_returned: Counter::default(),
             lookups_started: Counter::default(),
@@ -98,15 +99,15 @@
             zones_evacuated: Gauge::default(),
             platform_era: Gauge::default(),
             values_dropped: Counter::default(),
-            platform_read_seconds: times(),
-            relay_pull_seconds: times(),
+            platform_read_seconds: seconds_histogram(),
+            relay_pull_seconds: seconds_histogram(),
             hosts_suspected: Counter::default(),
         }
     }
 }
 
 impl OpaqueMetrics {
-    /// Names all of them in a registry.
+    /// Registers all metrics.
     pub(crate) fn register(&self, registry: &mut Registry) {
         for (name, help, counter) in self.counters() {
             registry.register(name, help, counter.clone());
@@ -133,12 +134,12 @@
         );
         registry.register(
             "relay_pull_seconds",
-            "Time from a question to a peer for newer values until they are in force here",
+            "Time from a request to a peer for newer values until they are in force here",
             self.relay_pull_seconds.clone(),
         );
         registry.register(
             "platform_read_seconds",
-            "Time of a read of the platform, waits for changes included",
+            "Duration of a read of the platform, waits for changes included",
             self.platform_read_seconds.clone(),
         );
     }
@@ -147,17 +148,17 @@
         [
             (
                 "packets_shown",
-                "Packets shown to agents to find their flow, while there was no configuration",
+                "Packets sent to agents to find their flow, while there was no configuration",
                 &self.packets_shown,
             ),
             (
                 "retries_known",
-                "Openers known to be retries of attempts that failed",
+                "Openers recognized as retries of failed attempts",
                 &self.retries_known,
             ),
             (
                 "openers_taken",
-                "Openers handed to the backend server",
+                "Openers passed to the backend server",
                 &self.openers_taken,
             ),
             (
@@ -167,12 +168,12 @@
             ),
             (
                 "openers_declined",
-                "Openers left to an agent that has less to do",
+                "Openers declined in favour of a less loaded agent",
                 &self.openers_declined,
             ),
             (
                 "openers_offered",
-                "Openers that a balancer offered to an agent which may decline",
+                "Openers that a balancer offered to an agent, which may decline them",
                 &self.openers_offered,
             ),
             (
@@ -182,12 +183,12 @@
             ),
             (
                 "openers_refused",
-                "Openers whose callers were told that nobody takes them in time",
+                "Openers refused because no backend server takes them in time",
                 &self.openers_refused,
             ),
             (
                 "openers_dropped",
-                "Openers without room that may come again",
+                "Openers dropped for lack of room, which their callers may send again",
                 &self.openers_dropped,
             ),
             (
@@ -197,7 +198,7 @@
             ),
             (
                 "requests_lost",
-                "Requests whose backend server ended",
+                "Requests that ended without an answer from their backend server",
                 &self.requests_lost,
             ),
             (
@@ -212,47 +213,47 @@
             ),
             (
                 "requests_given_up",
-                "Requests that waited for a slot until their callers had left",
+                "Requests whose callers left while they waited for a slot",
                 &self.requests_given_up,
             ),
             (
                 "backend_stalls",
-                "How often the backend server took requests and served none",
+                "Times that the backend server took requests and served none",
                 &self.backend_stalls,
             ),
             (
                 "packets_returned",
-                "Packets that the backend server handed back",
+                "Packets that the backend server returned",
                 &self.packets_returned,
             ),
             (
                 "lookups_started",
-                "Questions to all agents who holds a flow",
+                "Lookups of the holder of a flow at all agents",
                 &self.lookups_started,
             ),
             (
                 "lookups_found",
-                "Such questions answered by the holder",
+                "Lookups answered by the holder",
                 &self.lookups_found,
             ),
             (
                 "lookups_given_up",
-                "Such questions without all answers",
+                "Lookups given up without answers of all agents",
                 &self.lookups_given_up,
             ),
             (
                 "lookups_partial",
-                "Questions on sites too large to ask all agents, which prove nothing",
+                "Lookups that query only some agents of a large site, which can't prove that a flow is gone",
                 &self.lookups_partial,
             ),
             (
                 "ends_proved_by_backend",
-                "Flows ended since the backend server where they had opened returned a packet",
+                "Flows ended because the backend server where they had opened returned a packet",
                 &self.ends_proved_by_backend,
             ),
             (
                 "hints_right",
-                "Packets sent where a hint said",
+                "Packets sent to the agent that a hint named",
                 &self.hints_right,
             ),
             (
@@ -262,12 +263,12 @@
             ),
             (
                 "hosts_suspected",
-                "Hosts suspected for missed answers",
+                "Hosts suspected of failure after missed answers",
                 &self.hosts_suspected,
             ),
             (
                 "values_dropped",
-                "Values read from the platform that differ from those in force and are older",
+                "Values read from the platform and dropped, as they differ from those in force and are older",
                 &self.values_dropped,
             ),
         ]
@@ -282,7 +283,7 @@
             ),
             (
                 "requests_busy",
-                "Requests that run or wait there",
+                "Requests that run or wait at the backend server",
                 &self.requests_busy,
             ),
             (
@@ -292,27 +293,27 @@
             ),
             (
                 "hints_held",
-                "Flows whose holder a balancer remembers",
+                "Flows for which a balancer holds a hint to their agent",
                 &self.hints_held,
             ),
             (
                 "entries_unusable",
-                "Published entries that name no backend server to use",
+                "Published entries that name no usable backend server",
                 &self.entries_unusable,
             ),
             (
                 "agents_heard",
-                "Agents heard of while there was no configuration",
+                "Agents found while there was no configuration",
                 &self.agents_heard,
             ),
             (
                 "zones_evacuated",
-                "Availability zones whose backend servers get no new flow",
+                "Availability zones whose backend servers get no new flows",
                 &self.zones_evacuated,
             ),
             (
                 "platform_era",
-                "How often the platform has come back from an older copy, by the values in force",
+                "Number of restores of the platform from an older copy, according to the values in force",
                 &self.platform_era,
             ),
         ]
--- a/src/process/timer_service.rs
+++ b/src/process/timer_service.rs
@@ -1,20 +1,21 @@
-//! The timer service: parts subscribe to periods and are told when a pause has made facts old.
+//! Periodic timers and detection of pauses of the process, without a clock of its own.
 
-/// A step of the clock beyond which the process must have been paused, in milliseconds.
+/// A step of the clock above this means that the process was paused.
 pub const PAUSE_THRESHOLD_MS: u64 = 2_000;
-/// The longest wait between two looks at the clock, in milliseconds.
+/// The longest wait between two reads of the clock. It is well below [`PAUSE_THRESHOLD_MS`], so that waiting
+/// is not taken for a pause.
 pub(crate) const MAX_WAIT_MS: u64 = 200;
 
-/// Identifies a subscription.
+/// The identifier of a subscription.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TimerId(pub usize);
 
-/// What a subscriber is told.
+/// An event for the subscribers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TimerEvent {
     /// The period of this subscription has passed.
     Due(TimerId),
-    /// The process was paused for about `gap_ms`: what it believed before may be untrue now.
+    /// The process was paused for about `gap_ms`, so its state may be stale.
     Resumed {
         /// The length of the pause, in milliseconds.
         gap_ms: u64,
@@ -27,7 +28,7 @@
     due_ms: u64,
 }
 
-/// Subscriptions to the passing of time; it is told the time and never asks for it.
+/// The subscriptions to periodic events; callers pass in the time.
 #[derive(Debug, Default)]
 pub struct TimerService {
     subscriptions: Vec<Subscription>,
@@ -35,7 +36,7 @@
 }
 
 impl TimerService {
-    /// Makes a service that starts at `now_ms`.
+    /// Creates a service that starts at `now_ms`.
     pub fn new(now_ms: u64) -> Self {
         Self {
             subscriptions: Vec::new(),
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Subscribes to a period; the first event comes after `delay_ms`, which spreads the work.
+    /// Subscribes to an event every `period_ms`; the first is due after `delay_ms`, which spreads the load.
     pub fn subscribe(&mut self, period_ms: u64, delay_ms: u64) -> TimerId {
         self.subscriptions.push(Subscription {
             period_ms: period_ms.max(1),
@@ -52,9 +53,9 @@
         TimerId(self.subscriptions.len() - 1)
     }
 
-    /// Advances to `now_ms` and returns what is due, a pause first.
+    /// Advances to `now_ms` and returns the events that are due, a detected pause first.
     ///
-    /// A period that passed several times in a pause is due once.
+    /// A period that elapsed several times during a pause is due once.
     pub fn advance(&mut self, now_ms: u64) -> Vec<TimerEvent> {
         let mut events = Vec::new();
         let gap_ms = now_ms.saturating_sub(self.last_ms);
@@ -71,7 +72,7 @@
         events
     }
 
-    /// Returns how long to wait before the next call of [`TimerService::advance`].
+    /// Returns the time to wait before the next call of [`TimerService::advance`].
     pub fn wait_ms(&self) -> u64 {
         let next_ms = self.subscriptions.iter().map(|s| s.due_ms).min();
         let wait_ms = next_ms.map_or(MAX_WAIT_MS, |due_ms| due_ms.saturating_sub(self.last_ms));
--- a/src/process/timers.rs
+++ b/src/process/timers.rs
@@ -1,4 +1,4 @@
-//! Runs the timer service on the process's clock and calls what has subscribed.
+//! Runs the timer service on the clock of the process and calls the subscribed actions.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -10,7 +10,7 @@
 
 type Action = Rc<dyn Fn()>;
 
-/// The subscriptions of a process.
+/// The periodic actions of a process, and its actions after a pause.
 pub(crate) struct Timers {
     clock: Clock,
     service: RefCell<TimerService>,
@@ -28,20 +28,20 @@
         }
     }
 
-    /// Calls `action` each `period_ms`, the first time after a random part of it, so that hosts
-    /// which start together don't act together.
+    /// Calls `action` every `period_ms`. The first call comes after a random part of the period, so that hosts
+    /// that start together don't act at the same times.
     pub(crate) fn every(&self, period_ms: u64, action: impl Fn() + 'static) {
         let delay_ms = rand::random_range(0..=period_ms);
         let id = self.service.borrow_mut().subscribe(period_ms, delay_ms);
         self.actions.borrow_mut().push((id, Rc::new(action)));
     }
 
-    /// Calls `action` when the process finds that it was paused.
+    /// Calls `action` after each detected pause of the process.
     pub(crate) fn on_resume(&self, action: impl Fn() + 'static) {
         self.on_resume.borrow_mut().push(Rc::new(action));
     }
 
-    /// Runs forever.
+    /// Runs the timers forever.
     pub(crate) async fn run(&self, metrics: &Metrics) {
         loop {
             let wait_ms = self.service.borrow().wait_ms();
@@ -63,7 +63,7 @@
             }
             TimerEvent::Due(id) => {
                 let actions = self.actions.borrow();
-                let action = actions.iter().find(|(subscribed, _)| *subscribed == id);
+                let action = actions.iter().find(|(action_id, _)| *action_id == id);
                 let action = action.map(|(_, action)| action.clone());
                 drop(actions);
                 if let Some(action) = action {
--- a/src/process/udp.rs
+++ b/src/process/udp.rs
@@ -8,27 +8,27 @@
 use crate::code::Code;
 use crate::error::{Error, Result};
 
-/// The largest datagram taken from a caller, in bytes: what an Ethernet frame carries, and more.
+/// The largest datagram accepted from a caller: more than an Ethernet frame carries.
 pub(crate) const MAX_PACKET_BYTES: usize = 2_048;
-/// The most that a process adds to a datagram for the next one, in bytes.
+/// The longest trailer that one process appends to a datagram for the next process.
 pub(crate) const MAX_TRAILER_BYTES: usize = 128;
-/// The size of a buffer that holds a datagram and what was added to it.
+/// The size of a buffer that holds a datagram and its trailer.
 pub(crate) const BUFFER_BYTES: usize = MAX_PACKET_BYTES + MAX_TRAILER_BYTES;
 
 const SOCKET_BUFFER_BYTES: usize = 4 << 20;
 
-/// Binds a socket; large buffers are asked for, and what the host allows is taken.
+/// Binds a UDP socket with large buffers, as far as the host grants them.
 pub fn bind(address: SocketAddr) -> Result<UdpSocket> {
     bind_pair(address).map(|(receiver, _)| receiver)
 }
 
-fn ask_for_buffers(socket: &Socket) {
-    // A host that grants less only drops more datagrams in a burst.
+fn request_large_buffers(socket: &Socket) {
+    // With smaller buffers the host only drops more datagrams in a burst.
     let _ = socket.set_recv_buffer_size(SOCKET_BUFFER_BYTES);
     let _ = socket.set_send_buffer_size(SOCKET_BUFFER_BYTES);
 }
 
-/// Binds a socket to receive on, and gives out the same one to send on without waiting.
+/// Binds a UDP socket and returns it twice: to receive asynchronously and to send without blocking.
 pub(crate) fn bind_pair(
     address: impl Into<SocketAddr>,
 ) -> Result<(UdpSocket, std::net::UdpSocket)> {
@@ -38,7 +38,7 @@
         Type::DGRAM,
         Some(Protocol::UDP),
     )?;
-    ask_for_buffers(&socket);
+    request_large_buffers(&socket);
     socket.set_nonblocking(true)?;
     socket
         .bind(&address.into())
--- a/src/programs/daemon.rs
+++ b/src/programs/daemon.rs
@@ -1,4 +1,4 @@
-//! What the daemons do from their command line to their exit code.
+//! The life of a daemon, from its command line to its exit code.
 
 use std::future::Future;
 use std::path::{Path, PathBuf};
@@ -24,7 +24,7 @@
 use crate::quic::agent::Agent;
 use crate::quic::{balancer, peer_service};
 
-/// The exit code for a command line or settings file that can't be used.
+/// The exit code for an invalid command line or settings file.
 pub const EXIT_USAGE: u8 = 2;
 
 const SIGINT: i32 = 2;
@@ -42,7 +42,7 @@
     check: bool,
 }
 
-/// Runs a balancer with the arguments of the process.
+/// Runs a balancer with the command line of the process.
 pub fn run_balancer() -> ExitCode {
     run("endivedyke-balancer", None, |control| async move {
         let hooks = balancer::hooks(&control);
@@ -51,7 +51,7 @@
     })
 }
 
-/// Runs an agent with the arguments of the process.
+/// Runs an agent with the command line of the process.
 pub fn run_agent() -> ExitCode {
     run("endivedyke-agent", None, |control| async move {
         let agent = Agent::new(&control)?;
@@ -60,9 +60,9 @@
     })
 }
 
-/// Runs a balancer of opaque flows; `adapt` makes the adapter of the platform from the settings.
+/// Runs a balancer of opaque flows; `adapt` creates the adapter of the platform from the settings.
 ///
-/// Without an argument, the environment variable `settings_variable` names the settings file.
+/// Without `--settings`, the environment variable `settings_variable` names the settings file.
 pub fn run_opaque_balancer(
     settings_variable: &str,
     adapt: fn(&Settings) -> PlatformAdapter,
@@ -80,9 +80,9 @@
     )
 }
 
-/// Runs an agent of opaque flows; `adapt` makes the adapter of the platform from the settings.
+/// Runs an agent of opaque flows; `adapt` creates the adapter of the platform from the settings.
 ///
-/// Without an argument, the environment variable `settings_variable` names the settings file.
+/// Without `--settings`, the environment variable `settings_variable` names the settings file.
 pub fn run_opaque_agent(
     settings_variable: &str,
     adapt: fn(&Settings) -> PlatformAdapter,
@@ -113,26 +113,27 @@
         println!("{program} {}", env!("CARGO_PKG_VERSION"));
         return ExitCode::SUCCESS;
     }
-    let from_variable = settings_variable.and_then(std::env::var_os);
-    let Some(path) = options.settings.or(from_variable.map(PathBuf::from)) else {
+    let path_from_env = settings_variable.and_then(std::env::var_os);
+    let Some(path) = options.settings.or(path_from_env.map(PathBuf::from)) else {
         eprintln!("{program}: name a settings file with --settings FILE; see --help");
         return ExitCode::from(EXIT_USAGE);
     };
     let settings = match Settings::load(&path) {
         Ok(settings) => settings,
-        Err(error) => return fail(program, &error, EXIT_USAGE),
+        Err(error) => return report_error(program, &error, EXIT_USAGE),
     };
     if options.check {
-        println!("{}: settings are sound", path.display());
+        println!("{}: settings are valid", path.display());
         return ExitCode::SUCCESS;
     }
     match run_role(settings, &path, role) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => fail(program, &error, 1),
+        Err(error) => report_error(program, &error, 1),
     }
 }
 
-fn fail(program: &str, error: &crate::error::Error, exit_code: u8) -> ExitCode {
+/// Prints an error to standard error and returns the exit code.
+fn report_error(program: &str, error: &crate::error::Error, exit_code: u8) -> ExitCode {
     eprintln!("{program}: {error}");
     ExitCode::from(exit_code)
 }
@@ -155,8 +156,8 @@
     runtime.block_on(async {
         let control = ControlPlane::new(settings, metrics);
         let path = path.to_owned();
-        let reloaded = control.clone();
-        compio::runtime::spawn(async move { reload::run(reloaded, &path).await }).detach();
+        let reload_control = control.clone();
+        compio::runtime::spawn(async move { reload::run(reload_control, &path).await }).detach();
         log::info!("event=start host={}", control.settings.host);
         let result = role(control).await;
         log::info!("event=stop");
@@ -164,19 +165,20 @@
     })
 }
 
-/// Opens the ports of control links and metrics, and starts the timers.
+/// Serves control links and metrics on their ports, and starts the timers.
 async fn listen(control: &Rc<ControlPlane>, hooks: NodeHooks) -> Result<()> {
     let settings = &control.settings;
-    let links = node_server::bind(settings.host, settings.control_port).await?;
-    let metrics = TcpListener::bind((settings.host, settings.metrics_port)).await?;
-    compio::runtime::spawn(node_server::serve(links, control.clone(), hooks)).detach();
-    compio::runtime::spawn(serve_metrics(metrics, control.clone())).detach();
-    let timed = control.clone();
-    compio::runtime::spawn(async move { timed.timers.run(&timed.metrics).await }).detach();
+    let link_listener = node_server::bind(settings.host, settings.control_port).await?;
+    let metrics_listener = TcpListener::bind((settings.host, settings.metrics_port)).await?;
+    compio::runtime::spawn(node_server::serve(link_listener, control.clone(), hooks)).detach();
+    compio::runtime::spawn(serve_metrics(metrics_listener, control.clone())).detach();
+    let timer_control = control.clone();
+    compio::runtime::spawn(async move { timer_control.timers.run(&timer_control.metrics).await })
+        .detach();
     Ok(())
 }
 
-/// Brings up what every daemon shares and returns when a configuration is in force.
+/// Starts the tasks that all daemons for QUIC share, and returns once a configuration is in force.
 async fn start(control: &Rc<ControlPlane>, hooks: NodeHooks) -> Result<()> {
     listen(control, hooks).await?;
     let reader_role = ReaderRole::new();
@@ -190,11 +192,12 @@
     Ok(())
 }
 
+/// Subscribes the exchange with peers to timers, pauses and changes of the host list.
 fn subscribe(control: &Rc<ControlPlane>, reader_role: &Rc<ReaderRole>) {
-    let compared = control.clone();
+    let compare_control = control.clone();
     let reader_role = reader_role.clone();
     control.timers.every(relay::COMPARE_PERIOD_MS, move || {
-        let control = compared.clone();
+        let control = compare_control.clone();
         let reader_role = reader_role.clone();
         compio::runtime::spawn(async move {
             if relay::compare_once(&control).await {
@@ -203,21 +206,21 @@
         })
         .detach();
     });
-    let resumed = control.clone();
+    let resume_control = control.clone();
     control.timers.on_resume(move || {
-        resumed.peers.drop_links();
-        resumed.suspicion.borrow_mut().clear();
-        let control = resumed.clone();
+        resume_control.peers.drop_links();
+        resume_control.suspicion.borrow_mut().clear();
+        let control = resume_control.clone();
         compio::runtime::spawn(async move {
             relay::compare_once(&control).await;
         })
         .detach();
     });
-    let tidied = control.clone();
+    let change_control = control.clone();
     control.on_change(move |names| {
         if names.contains(&crate::config::config_store::HOSTS_NAME) {
-            let store = tidied.store.borrow();
-            tidied
+            let store = change_control.store.borrow();
+            change_control
                 .peers
                 .retain_links(|host| store.hosts().get(host).is_some());
         }
@@ -226,14 +229,14 @@
 
 async fn serve_metrics(listener: TcpListener, control: Rc<ControlPlane>) {
     http_server::serve(listener, move |request| {
-        let found = request.uri().path() == "/metrics";
-        let text = if found {
+        let is_metrics = request.uri().path() == "/metrics";
+        let text = if is_metrics {
             control.metrics.render()
         } else {
             "see /metrics\n".to_owned()
         };
         let mut response = Response::new(Full::from(text));
-        if !found {
+        if !is_metrics {
             *response.status_mut() = http::StatusCode::NOT_FOUND;
         }
         std::future::ready(response)
@@ -241,7 +244,7 @@
     .await;
 }
 
-/// Completes when the process is asked to stop.
+/// Completes when the process gets SIGTERM or SIGINT.
 async fn stop_signal() {
     let terminate = std::pin::pin!(compio::signal::unix::signal(SIGTERM));
     let interrupt = std::pin::pin!(compio::signal::unix::signal(SIGINT));
--- a/src/programs/mod.rs
+++ b/src/programs/mod.rs
@@ -1,7 +1,7 @@
-//! The programs: how a daemon starts and stops, and the operators' client.
+//! The programs: start and stop of the daemons, and the operators' command line client.
 //!
-//! The rule that lives here: bad settings and words end with a numbered error that says what to do, and a
-//! process that stops says so before it does. These alone use all folders.
+//! Invalid settings and arguments end with a numbered error and its remedy, and a process logs that it stops
+//! before it does. Only this folder may use all others.
 
 pub(crate) mod daemon;
 pub(crate) mod operator;
--- a/src/programs/operator.rs
+++ b/src/programs/operator.rs
@@ -1,4 +1,4 @@
-//! The operators' client: checks tables, predicts edits and shows the state of processes.
+//! The operators' command line client: checks tables, shows the effect of edits and the state of processes.
 
 mod host_states;
 mod remote;
@@ -33,23 +33,24 @@
 #[derive(Debug, Options)]
 enum Command {
     #[options(help = "table check FILE, table diff OLD NEW, table header")]
-    Table(Words),
+    Table(CommandOptions),
     #[options(help = "settings check FILE")]
-    Settings(Words),
+    Settings(CommandOptions),
     #[options(help = "state ADDRESS: print the whole state of the process on a host")]
     State(StateOptions),
-    #[options(help = "explain ID FILE...: follow a request or flow through log files")]
-    Explain(Words),
-    #[options(help = "status: revision, load and drains of all processes at a glance")]
+    #[options(help = "explain ID FILE...: trace a request or flow through log files")]
+    Explain(CommandOptions),
+    #[options(help = "status: print revision, load and drains of all processes")]
     Status(StatusOptions),
 }
 
+// A doc comment on this struct would become part of `--help`.
 #[derive(Debug, Options)]
-struct Words {
+struct CommandOptions {
     #[options(help = "print this help and exit")]
     help: bool,
     #[options(free)]
-    words: Vec<String>,
+    arguments: Vec<String>,
 }
 
 #[derive(Debug, Options)]
@@ -80,7 +81,7 @@
     json: bool,
 }
 
-/// Runs the operators' client with the arguments of the process.
+/// Runs the operators' client with the command line of the process.
 pub fn run_operator() -> ExitCode {
     let options = OperatorOptions::parse_args_default_or_exit();
     if options.version {
@@ -88,9 +89,9 @@
         return ExitCode::SUCCESS;
     }
     let result = match &options.command {
-        Some(Command::Table(words)) => table_command(&words.words),
-        Some(Command::Settings(words)) => settings_command(&words.words),
-        Some(Command::Explain(words)) => explain_command(&words.words),
+        Some(Command::Table(options)) => table_command(&options.arguments),
+        Some(Command::Settings(options)) => settings_command(&options.arguments),
+        Some(Command::Explain(options)) => explain_command(&options.arguments),
         Some(Command::State(options)) => state_command(options),
         Some(Command::Status(options)) => status_command(options),
         None => Err(Error::new(Code::Usage, "name a command")),
@@ -102,34 +103,37 @@
         }
         Err(error) => {
             eprintln!("endivedyke: {error}");
-            let usage = error.code == Code::Usage;
-            ExitCode::from(if usage { EXIT_USAGE } else { 1 })
+            let is_usage = error.code == Code::Usage;
+            ExitCode::from(if is_usage { EXIT_USAGE } else { 1 })
         }
     }
 }
 
-fn read(path: &str) -> Result<String> {
+fn read_file(path: &str) -> Result<String> {
     let text = std::fs::read_to_string(path);
     text.map_err(|error| Error::new(Code::Io, format!("{path}: {error}")))
 }
 
-fn explain_command(words: &[String]) -> Result<String> {
-    let Some((id, files)) = words.split_first().filter(|(_, files)| !files.is_empty()) else {
+fn explain_command(arguments: &[String]) -> Result<String> {
+    let Some((id, files)) = arguments
+        .split_first()
+        .filter(|(_, files)| !files.is_empty())
+    else {
         return Err(Error::new(Code::Usage, "explain ID FILE..."));
     };
     let logs: Result<Vec<_>> = files
         .iter()
-        .map(|file| Ok((file.clone(), read(file)?)))
+        .map(|file| Ok((file.clone(), read_file(file)?)))
         .collect();
     explain::explain(id, &logs?)
 }
 
-fn table_command(words: &[String]) -> Result<String> {
-    let words: Vec<&str> = words.iter().map(String::as_str).collect();
-    match words.as_slice() {
+fn table_command(arguments: &[String]) -> Result<String> {
+    let arguments: Vec<&str> = arguments.iter().map(String::as_str).collect();
+    match arguments.as_slice() {
         ["header"] => Ok(format!("{TABLE_HEADER}\n")),
-        ["check", file] => tables::check(&read(file)?),
-        ["diff", old, new] => tables::diff(&read(old)?, &read(new)?),
+        ["check", file] => tables::check(&read_file(file)?),
+        ["diff", old, new] => tables::diff(&read_file(old)?, &read_file(new)?),
         _ => Err(Error::new(
             Code::Usage,
             "table check FILE, table diff OLD NEW or table header",
@@ -137,11 +141,11 @@
     }
 }
 
-fn settings_command(words: &[String]) -> Result<String> {
-    match words {
+fn settings_command(arguments: &[String]) -> Result<String> {
+    match arguments {
         [verb, file] if verb == "check" => {
             Settings::load(Path::new(file))?;
-            Ok(format!("{file}: settings are sound\n"))
+            Ok(format!("{file}: settings are valid\n"))
         }
         _ => Err(Error::new(Code::Usage, "settings check FILE")),
     }
--- a/src/programs/operator/host_states.rs
+++ b/src/programs/operator/host_states.rs
@@ -1,8 +1,8 @@
-//! What hosts answered when they were asked for their states.
+//! The state dumps of several hosts.
 
 use std::net::Ipv4Addr;
 
 use serde_json::Value;
 
-/// What each host answered; nothing where it was silent.
+/// The state dump of each host as JSON, or `None` if the host did not answer.
 pub(crate) type HostStates = Vec<(Ipv4Addr, Option<Value>)>;
--- a/src/programs/operator/remote.rs
+++ b/src/programs/operator/remote.rs
@@ -1,4 +1,4 @@
-//! Reads the state of processes over control links.
+//! The commands that read the state of processes over control links.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::PathBuf;
@@ -23,7 +23,8 @@
     Settings::load(path.ok_or_else(missing)?)
 }
 
-fn peers_of(settings: &Settings) -> PeerClient {
+/// Creates a client for control links with the cluster key and port of the settings.
+fn peer_client(settings: &Settings) -> PeerClient {
     let metrics = Rc::new(Metrics::default());
     PeerClient::new(
         Ipv4Addr::UNSPECIFIED,
@@ -33,31 +34,31 @@
     )
 }
 
-/// Prints the whole state of one process.
+/// Returns the whole state of one process, as text or JSON.
 pub(crate) fn state_command(options: &StateOptions) -> Result<String> {
     let &[address] = options.address.as_slice() else {
         return Err(Error::new(Code::Usage, "state ADDRESS"));
     };
     let settings = load_settings(options.settings.as_ref())?;
     let runtime = compio::runtime::Runtime::new()?;
-    let peers = peers_of(&settings);
+    let peers = peer_client(&settings);
     let json = runtime.block_on(peers.state(address))?;
     if options.json {
         return Ok(json + "\n");
     }
-    Ok(state_view::render(&parse(&json)?))
+    Ok(state_view::render(&parse_state(&json)?))
 }
 
-fn parse(json: &str) -> Result<Value> {
+fn parse_state(json: &str) -> Result<Value> {
     let value = serde_json::from_str(json);
     value.map_err(|error| Error::new(Code::LinkClosed, error.to_string()))
 }
 
-/// Prints the state of all processes at a glance.
+/// Returns a summary of the state of all processes, as text or JSON.
 pub(crate) fn status_command(options: &StatusOptions) -> Result<String> {
     let settings = load_settings(options.settings.as_ref())?;
     let runtime = compio::runtime::Runtime::new()?;
-    let states = runtime.block_on(read_all(&settings))?;
+    let states = runtime.block_on(read_all_states(&settings))?;
     if options.json {
         let states: Vec<&Value> = states
             .iter()
@@ -65,12 +66,13 @@
             .collect();
         return Ok(serde_json::json!(states).to_string() + "\n");
     }
-    Ok(status::text(&states))
+    Ok(status::render(&states))
 }
 
-/// Reads the state of every listed host; while the platform is silent or keeps no list, of the seeds and
-/// of the hosts that they know.
-async fn read_all(settings: &Settings) -> Result<HostStates> {
+/// Reads the state of every host of the host list, and of the hosts that these name in their states.
+///
+/// If the platform does not answer or keeps no list, the seeds take the place of the listed hosts.
+async fn read_all_states(settings: &Settings) -> Result<HostStates> {
     let hosts = match platform::read_value(settings.platform, HOSTS_NAME).await {
         Ok((_, text)) => {
             let list = HostList::parse(&text)?;
@@ -79,32 +81,34 @@
         Err(error) if settings.seeds.is_empty() => return Err(error),
         Err(_) => settings.seeds.clone(),
     };
-    let peers = peers_of(settings);
-    let mut states = read_hosts(&peers, hosts).await;
-    let known = known_hosts(&states);
-    states.extend(read_hosts(&peers, known).await);
+    let peers = peer_client(settings);
+    let mut states = read_states(&peers, hosts).await;
+    let unread = unread_hosts(&states);
+    states.extend(read_states(&peers, unread).await);
     states.sort_by_key(|(host, _)| *host);
     Ok(states)
 }
 
-async fn read_hosts(peers: &PeerClient, hosts: Vec<Ipv4Addr>) -> HostStates {
+/// Reads the states of hosts concurrently.
+async fn read_states(peers: &PeerClient, hosts: Vec<Ipv4Addr>) -> HostStates {
     let read = |host| async move {
-        let state = peers.state(host).await.and_then(|json| parse(&json));
+        let state = peers.state(host).await.and_then(|json| parse_state(&json));
         (host, state.ok())
     };
     futures_util::future::join_all(hosts.into_iter().map(read)).await
 }
 
-/// Returns the hosts of backend servers and of links that states name and that were not read.
-fn known_hosts(states: &HostStates) -> Vec<Ipv4Addr> {
-    let answers = states.iter().filter_map(|(_, state)| state.as_ref());
-    let mut known: Vec<Ipv4Addr> = answers.flat_map(named_hosts).collect();
-    known.retain(|host| states.iter().all(|(read, _)| read != host));
-    known.sort_unstable();
-    known.dedup();
-    known
+/// Returns the hosts that are named in `states` and are not in it themselves.
+fn unread_hosts(states: &HostStates) -> Vec<Ipv4Addr> {
+    let answered = states.iter().filter_map(|(_, state)| state.as_ref());
+    let mut unread: Vec<Ipv4Addr> = answered.flat_map(named_hosts).collect();
+    unread.retain(|host| states.iter().all(|(read, _)| read != host));
+    unread.sort_unstable();
+    unread.dedup();
+    unread
 }
 
+/// Returns the hosts of the backend servers and control links in a state.
 fn named_hosts(state: &Value) -> Vec<Ipv4Addr> {
     let backends = state["backends"].as_array().into_iter().flatten();
     let links = state["links"].as_array().into_iter().flatten();
@@ -112,7 +116,7 @@
         let address: SocketAddrV4 = backend["address"].as_str()?.parse().ok()?;
         Some(*address.ip())
     };
-    let hosts = backends.filter_map(address);
-    let linked = links.filter_map(|host| host.as_str()?.parse().ok());
-    hosts.chain(linked).collect()
+    let backend_hosts = backends.filter_map(address);
+    let linked_hosts = links.filter_map(|host| host.as_str()?.parse().ok());
+    backend_hosts.chain(linked_hosts).collect()
 }
--- a/src/programs/operator/service_loads.rs
+++ b/src/programs/operator/service_loads.rs
@@ -1,76 +1,79 @@
-//! How the flows of each service of opaque flows are spread over its backend servers.
+//! Compares the flows of backend servers with their shares, for each service of opaque flows.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
 use serde_json::Value;
 
 use crate::programs::operator::host_states::HostStates;
-use crate::programs::state_view::{cells, scalar};
+use crate::programs::state_view::{format_inline, table_row};
 
-/// One backend server as its agent and the published entries tell of it.
+/// The load of a backend server, from the state of its agent.
 #[derive(Debug, Clone, PartialEq)]
-struct Server {
+struct ServerLoad {
     service: String,
     host: Ipv4Addr,
     slots: f64,
     flows: f64,
 }
 
-/// Lays out a row for each service, with the backend servers that have most and least beside their shares.
+/// Returns a table with a row for each service and its busiest and least busy backend server.
 ///
-/// A share is by slots. A server at night that gets far more than its share is seen here before its callers see it.
+/// Busy is relative to the share of a server, which follows from its slots. A server that gets far more than its
+/// share while the load is low shows up here before its callers notice.
 pub(crate) fn rows(states: &HostStates) -> Vec<Vec<String>> {
-    let mut rows = vec![cells(&[
+    let mut rows = vec![table_row(&[
         "service", "servers", "flows", "busiest", "of share", "least", "of share",
     ])];
-    let servers = servers(states);
+    let servers = server_loads(states);
     for of_service in servers.chunk_by(|one, other| one.service == other.service) {
-        rows.push(row(of_service));
+        rows.push(service_row(of_service));
     }
     rows
 }
 
-fn row(servers: &[Server]) -> Vec<String> {
+fn service_row(servers: &[ServerLoad]) -> Vec<String> {
     let flows: f64 = servers.iter().map(|server| server.flows).sum();
     let slots: f64 = servers.iter().map(|server| server.slots).sum();
-    let of_share = |server: &Server| server.flows * slots / (flows * server.slots);
-    let by_share = |one: &&Server, other: &&Server| of_share(one).total_cmp(&of_share(other));
+    let flows_per_share = |server: &ServerLoad| server.flows * slots / (flows * server.slots);
+    let by_flows_per_share = |one: &&ServerLoad, other: &&ServerLoad| {
+        flows_per_share(one).total_cmp(&flows_per_share(other))
+    };
     let mut row = vec![
         servers[0].service.clone(),
         servers.len().to_string(),
         flows.to_string(),
     ];
-    let ends = [
-        servers.iter().max_by(by_share),
-        servers.iter().min_by(by_share),
+    let extremes = [
+        servers.iter().max_by(by_flows_per_share),
+        servers.iter().min_by(by_flows_per_share),
     ];
-    for server in ends.into_iter().flatten() {
-        let share = if flows > 0.0 {
-            format!("{:.2}", of_share(server))
+    for server in extremes.into_iter().flatten() {
+        let flows_per_share_text = if flows > 0.0 {
+            format!("{:.2}", flows_per_share(server))
         } else {
             "-".to_owned()
         };
-        row.extend([server.host.to_string(), share]);
+        row.extend([server.host.to_string(), flows_per_share_text]);
     }
     row
 }
 
-/// Returns the backend servers whose agents answered, sorted by service.
-fn servers(states: &HostStates) -> Vec<Server> {
+/// Returns the loads of the backend servers whose agents answered, sorted by service and host.
+fn server_loads(states: &HostStates) -> Vec<ServerLoad> {
     let answered = states
         .iter()
         .filter_map(|(host, state)| Some((*host, state.as_ref()?)));
     let agents = answered.filter(|(_, state)| state["role"] == "agent");
-    let mut servers: Vec<Server> = agents
+    let mut servers: Vec<ServerLoad> = agents
         .filter_map(|(host, state)| {
             let entries = state["backends"].as_array()?;
             let entry = entries
                 .iter()
-                .find(|entry| host_of(entry) == Some(host.into()))?;
-            Some(Server {
-                service: scalar(&entry["service"]),
+                .find(|entry| entry_host(entry) == Some(host.into()))?;
+            Some(ServerLoad {
+                service: format_inline(&entry["service"]),
                 host,
-                slots: scalar(&entry["slots"]).parse().ok()?,
+                slots: format_inline(&entry["slots"]).parse().ok()?,
                 flows: state["opaque"]["flows_open"].as_f64()?,
             })
         })
@@ -79,8 +82,8 @@
     servers
 }
 
-/// Returns the host of a published entry.
-fn host_of(entry: &Value) -> Option<IpAddr> {
+/// Returns the host in the address of a published entry.
+fn entry_host(entry: &Value) -> Option<IpAddr> {
     let address: SocketAddr = entry["address"].as_str()?.parse().ok()?;
     Some(address.ip())
 }
--- a/src/programs/operator/status.rs
+++ b/src/programs/operator/status.rs
@@ -1,4 +1,4 @@
-//! The state of all processes as tables.
+//! Formats the states of all processes as tables.
 
 use std::net::Ipv4Addr;
 
@@ -6,17 +6,19 @@
 
 use crate::programs::operator::host_states::HostStates;
 use crate::programs::operator::service_loads;
-use crate::programs::state_view::{cells, columns_of, percent, scalar};
+use crate::programs::state_view::{align_columns, format_inline, format_percent, table_row};
 
-/// Lays out a row for each process, then one for each target, or for each process and each service of opaque flows.
-pub(crate) fn text(states: &HostStates) -> String {
-    let mut processes = vec![cells(&[
+/// Returns a table of the processes and a table of the targets.
+///
+/// For opaque flows, tables of the processes' counts, the services and the evacuated zones replace the targets.
+pub(crate) fn render(states: &HostStates) -> String {
+    let mut processes = vec![table_row(&[
         "host", "role", "zone", "revision", "platform", "rejected",
     ])];
-    let mut targets = vec![cells(&[
+    let mut targets = vec![table_row(&[
         "service", "target", "host", "flows", "table", "load", "busy", "queued", "state",
     ])];
-    let mut opaque = vec![cells(&[
+    let mut opaque = vec![table_row(&[
         "host",
         "flows",
         "busy",
@@ -29,11 +31,11 @@
     ])];
     for (host, state) in states {
         let Some(state) = state else {
-            processes.push(cells(&[&host.to_string(), "silent"]));
+            processes.push(table_row(&[&host.to_string(), "silent"]));
             continue;
         };
         processes.push(process_row(*host, state));
-        for target in list(&state["targets"]) {
+        for target in items(&state["targets"]) {
             targets.push(target_row(*host, target, states));
         }
         if state["opaque"].is_object() {
@@ -43,30 +45,30 @@
     let mut tables = vec![processes];
     if opaque.len() > 1 {
         tables.extend([opaque, service_loads::rows(states)]);
-        tables.extend(evacuations(states));
+        tables.extend(evacuation_rows(states));
     } else {
         tables.push(targets);
     }
-    let tables: Vec<String> = tables.iter().map(|rows| columns_of(rows, 0)).collect();
+    let tables: Vec<String> = tables.iter().map(|rows| align_columns(rows, 0)).collect();
     tables.join("\n")
 }
 
-/// Lays out a row for each evacuated availability zone with how many of the processes know of it; nothing where
-/// none is evacuated.
-fn evacuations(states: &HostStates) -> Option<Vec<Vec<String>>> {
+/// Returns a table with a row for each evacuated availability zone and the number of processes that know of it, or
+/// `None` if no zone is evacuated.
+fn evacuation_rows(states: &HostStates) -> Option<Vec<Vec<String>>> {
     let answered: Vec<&Value> = states
         .iter()
         .filter_map(|(_, state)| state.as_ref())
         .collect();
     let known = answered
         .iter()
-        .flat_map(|state| list(&state["evacuated_zones"]));
-    let mut zones: Vec<String> = known.map(scalar).collect();
+        .flat_map(|state| items(&state["evacuated_zones"]));
+    let mut zones: Vec<String> = known.map(format_inline).collect();
     zones.sort_unstable();
-    let mut rows = vec![cells(&["evacuated zone", "known to", "of"])];
+    let mut rows = vec![table_row(&["evacuated zone", "known to", "of"])];
     for of_zone in zones.chunk_by(|one, other| one == other) {
         let known_to = of_zone.len().to_string();
-        rows.push(cells(&[
+        rows.push(table_row(&[
             &of_zone[0],
             &known_to,
             &answered.len().to_string(),
@@ -75,21 +77,28 @@
     (rows.len() > 1).then_some(rows)
 }
 
-fn list(value: &Value) -> &[Value] {
+/// Returns the items of a JSON array, or none for any other value.
+fn items(value: &Value) -> &[Value] {
     value.as_array().map_or(&[], Vec::as_slice)
 }
 
 fn process_row(host: Ipv4Addr, state: &Value) -> Vec<String> {
-    let rejected = list(&state["values"]).iter();
+    let rejected = items(&state["values"]).iter();
     let rejected = rejected.filter(|value| !value["rejected_revision"].is_null());
     let rejected: Vec<String> = rejected
-        .map(|value| format!("{}@{}", scalar(&value["name"]), value["rejected_revision"]))
+        .map(|value| {
+            format!(
+                "{}@{}",
+                format_inline(&value["name"]),
+                value["rejected_revision"]
+            )
+        })
         .collect();
     let answers = state["platform_answers"].as_bool().unwrap_or(false);
     vec![
         host.to_string(),
-        scalar(&state["role"]),
-        scalar(&state["zone"]),
+        format_inline(&state["role"]),
+        format_inline(&state["zone"]),
         revision_text(state),
         if answers { "answers" } else { "not read" }.to_owned(),
         if rejected.is_empty() {
@@ -100,9 +109,9 @@
     ]
 }
 
-/// Returns the highest revision of a process, with the era before the dot where the platform came back from a copy.
+/// Returns the highest revision of a process, after its era and a dot if the platform was restored from a copy.
 fn revision_text(state: &Value) -> String {
-    let number = scalar(&state["revision"]);
+    let number = format_inline(&state["revision"]);
     match state["era"].as_u64() {
         None | Some(0) => number,
         Some(era) => format!("{era}.{number}"),
@@ -121,13 +130,14 @@
         "openers_dropped",
         "values_age_ms",
     ];
-    row.extend(names.map(|name| scalar(&counts[name])));
-    row.push(list(&state["suspected"]).len().to_string());
+    row.extend(names.map(|name| format_inline(&counts[name])));
+    row.push(items(&state["suspected"]).len().to_string());
     row
 }
 
+/// Returns the row of a target: the share of its host in the table, and in the open flows as its load.
 fn target_row(host: Ipv4Addr, target: &Value, states: &HostStates) -> Vec<String> {
-    let service = scalar(&target["service"]);
+    let service = format_inline(&target["service"]);
     let flows = target["open_flows"].as_u64().unwrap_or(0);
     let total = total_flows(states, &service);
     let load = if total == 0 {
@@ -145,36 +155,38 @@
     };
     vec![
         service.clone(),
-        scalar(&target["target"]),
+        format_inline(&target["target"]),
         host.to_string(),
         flows.to_string(),
-        percent(table_share(states, &service, host)),
-        percent(load),
-        scalar(&target["busy_slots"]),
-        scalar(&target["queued"]),
+        format_percent(table_share(states, &service, host)),
+        format_percent(load),
+        format_inline(&target["busy_slots"]),
+        format_inline(&target["queued"]),
         condition.to_owned(),
     ]
 }
 
+/// Returns the number of open flows of a service at all targets.
 fn total_flows(states: &HostStates, service: &str) -> u64 {
     let states = states.iter().filter_map(|(_, state)| state.as_ref());
-    let targets = states.flat_map(|state| list(&state["targets"]));
+    let targets = states.flat_map(|state| items(&state["targets"]));
     let of_service = targets.filter(|target| target["service"] == service);
     of_service
         .filter_map(|target| target["open_flows"].as_u64())
         .sum()
 }
 
+/// Returns the share of a host in the weights of a service, by the first state that has its table.
 fn table_share(states: &HostStates, service: &str, host: Ipv4Addr) -> f64 {
     let mut states = states.iter().filter_map(|(_, state)| state.as_ref());
     let table = states.find_map(|state| {
-        list(&state["tables"])
+        items(&state["tables"])
             .iter()
             .find(|table| table["service"] == service)
     });
-    let rows = table.map_or(&[] as &[Value], |table| list(&table["rows"]));
+    let rows = table.map_or(&[] as &[Value], |table| items(&table["rows"]));
     let weight = |row: &Value| row["weight"].as_f64().unwrap_or(0.0);
     let total: f64 = rows.iter().map(weight).sum();
-    let own = rows.iter().find(|row| row["host"] == host.to_string());
-    own.map_or(0.0, |row| weight(row) / total.max(1.0))
+    let host_row = rows.iter().find(|row| row["host"] == host.to_string());
+    host_row.map_or(0.0, |row| weight(row) / total.max(1.0))
 }
--- a/src/programs/state_view.rs
+++ b/src/programs/state_view.rs
@@ -1,8 +1,8 @@
-//! A state dump as people read it.
+//! Formats state dumps and tables as text.
 
 use serde_json::Value;
 
-/// Renders JSON as indented `name: value` lines; lists of records become tables.
+/// Renders JSON as indented `name: value` lines, and lists of objects as tables.
 pub(crate) fn render(state: &Value) -> String {
     let mut out = String::new();
     render_into(&mut out, state, 0);
@@ -11,7 +11,7 @@
 
 fn render_into(out: &mut String, value: &Value, indent: usize) {
     let Value::Object(fields) = value else {
-        out.push_str(&scalar(value));
+        out.push_str(&format_inline(value));
         out.push('\n');
         return;
     };
@@ -29,19 +29,20 @@
             }
             other => {
                 out.push_str(": ");
-                out.push_str(&scalar(other));
+                out.push_str(&format_inline(other));
                 out.push('\n');
             }
         }
     }
 }
 
+/// Renders records as a table of their plain fields, followed by the lists within each record.
 fn render_records(out: &mut String, records: &[Value], indent: usize) {
     let Some(Value::Object(first)) = records.first() else {
         return;
     };
-    let flat = |name: &&String| !matches!(first[*name], Value::Array(_) | Value::Object(_));
-    let columns: Vec<&String> = first.keys().filter(flat).collect();
+    let is_plain = |name: &&String| !matches!(first[*name], Value::Array(_) | Value::Object(_));
+    let columns: Vec<&String> = first.keys().filter(is_plain).collect();
     let mut rows = vec![
         columns
             .iter()
@@ -52,16 +53,17 @@
         rows.push(
             columns
                 .iter()
-                .map(|name| scalar(&record[name.as_str()]))
+                .map(|name| format_inline(&record[name.as_str()]))
                 .collect(),
         );
     }
-    out.push_str(&columns_of(&rows, indent));
+    out.push_str(&align_columns(&rows, indent));
     for record in records {
         render_nested(out, record, indent);
     }
 }
 
+/// Renders the lists within a record, each below a title with the name of the record.
 fn render_nested(out: &mut String, record: &Value, indent: usize) {
     let Value::Object(fields) = record else {
         return;
@@ -71,15 +73,15 @@
         .find_map(|key| fields.get(*key));
     for (name, field) in fields {
         if let Value::Array(records) = field {
-            let title = title.map(scalar).unwrap_or_default();
+            let title = title.map(format_inline).unwrap_or_default();
             out.push_str(&format!("{}{title} {name}:\n", " ".repeat(indent)));
             render_records(out, records, indent + 2);
         }
     }
 }
 
-/// Lays rows of cells out in columns of equal width.
-pub(crate) fn columns_of(rows: &[Vec<String>], indent: usize) -> String {
+/// Formats rows of cells as a text table with aligned columns.
+pub(crate) fn align_columns(rows: &[Vec<String>], indent: usize) -> String {
     let count = rows.iter().map(Vec::len).max().unwrap_or(0);
     let width = |column: usize| {
         let cells = rows.iter().filter_map(|row| row.get(column));
@@ -99,12 +101,16 @@
     out
 }
 
-/// Renders one value on one line.
-pub(crate) fn scalar(value: &Value) -> String {
+/// Formats a value on one line: `-` for null, items separated by spaces.
+pub(crate) fn format_inline(value: &Value) -> String {
     match value {
         Value::Null => "-".to_owned(),
         Value::String(text) => text.clone(),
-        Value::Array(items) => items.iter().map(scalar).collect::<Vec<_>>().join(" "),
+        Value::Array(items) => items
+            .iter()
+            .map(format_inline)
+            .collect::<Vec<_>>()
+            .join(" "),
         Value::Number(number) => match number.as_f64() {
             Some(float) if number.is_f64() => format!("{float:.1}"),
             _ => number.to_string(),
@@ -113,12 +119,12 @@
     }
 }
 
-/// Returns one row of cells.
-pub(crate) fn cells(names: &[&str]) -> Vec<String> {
-    names.iter().map(|name| (*name).to_owned()).collect()
+/// Returns a table row with these cells.
+pub(crate) fn table_row(cells: &[&str]) -> Vec<String> {
+    cells.iter().map(|cell| (*cell).to_owned()).collect()
 }
 
-/// Renders a share from 0 to 1 in per cent.
-pub(crate) fn percent(share: f64) -> String {
+/// Formats a share from 0 to 1 in per cent.
+pub(crate) fn format_percent(share: f64) -> String {
     format!("{:.2}%", share * 100.0)
 }
--- a/tests/codes.rs
+++ b/tests/codes.rs
@@ -1,4 +1,4 @@
-//! The table of codes in the docs is the table in the code.
+//! The table of codes in docs/CODES.md equals the one in the code.
 
 use endivedyke::Code;
 
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn numbers_are_distinct_and_found_again() {
+fn numbers_rise_and_map_back_to_their_codes() {
     for pair in Code::ALL.windows(2) {
         assert!(pair[0].number() < pair[1].number());
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,16 +1,16 @@
-//! What the tests of the decision core share.
+//! Fixtures shared by several tests.
 #![allow(dead_code, unreachable_pub)]
 
 use std::net::Ipv4Addr;
 
 use endivedyke::{ClusterKey, ConfigStore, LoadReport, TABLE_HEADER, Table};
 
-/// Returns the host of the target with this index.
+/// Returns the address of the host of the target with this index.
 pub fn host(index: usize) -> Ipv4Addr {
     Ipv4Addr::new(10, 0, (index / 250) as u8, (index % 250 + 1) as u8)
 }
 
-/// Returns the text of a table with one target for each weight.
+/// Returns the text of a table with one target for each weight, each on its own host.
 pub fn table_text(service: &str, weights: &[u32], connections: u32) -> String {
     let mut text = format!("{TABLE_HEADER}\n");
     for (index, weight) in weights.iter().enumerate() {
@@ -27,12 +27,12 @@
     Table::parse(&table_text("panel-front", weights, 2_000)).expect("sound table")
 }
 
-/// Returns the cluster key of the tests.
+/// Returns the cluster key that the tests use.
 pub fn cluster_key() -> ClusterKey {
     ClusterKey::new([7; 32])
 }
 
-/// Returns a store with these values.
+/// Returns a configuration store that holds these values, each a name, revision and text.
 pub fn store(values: &[(&str, u64, &str)]) -> ConfigStore {
     let mut store = ConfigStore::new(&cluster_key());
     for (name, revision, text) in values {
@@ -41,7 +41,7 @@
     store
 }
 
-/// Returns a report of a target that takes its full share.
+/// Returns the load report of a target that takes its full share.
 pub fn report(index: usize, sequence: u32, open_flows: u32) -> LoadReport {
     LoadReport {
         host: host(index),
