--- a/tests/opaque/backend_process.rs
+++ b/tests/opaque/backend_process.rs
@@ -3,8 +3,8 @@
 use endivedyke::opaque::{Action, Backend, BackendState, Message, MessageKind};
 
 use crate::builder::{
-    ACK, AgentUnderTest, FIN, PacketSpec, flow, from_backend, host, opener, reaches_backend,
-    request, resets, state_text,
+    ACK, AgentUnderTest, FIN, PacketSpec, entry_text, flow, from_backend, host, opener,
+    reaches_backend, request, resets,
 };
 
 /// Opens a flow, sends a request on it and lets the backend server end it with or without an
@@ -19,7 +19,7 @@
         ..PacketSpec::default()
     };
     // The bare packet that ends the flow arrives before the larger one with the answer.
-    agent.backend(from_backend(&key, end));
+    agent.deliver_from_backend(from_backend(&key, end));
     if answered {
         let answer = PacketSpec {
             flags: ACK,
@@ -27,7 +27,7 @@
             data_bytes: 60,
             ..PacketSpec::default()
         };
-        agent.backend(from_backend(&key, answer));
+        agent.deliver_from_backend(from_backend(&key, answer));
     }
 }
 
@@ -45,7 +45,7 @@
     assert!((1..=3).contains(&taken), "{taken} of 50 in half a second");
     let mut message = Message::new(MessageKind::HandOn);
     message.hops = 2;
-    let actions = agent.hear(host(2), message, &opener(&flow(160), 0));
+    let actions = agent.deliver_message(host(2), message, &opener(&flow(160), 0));
     assert!(reaches_backend(&actions), "the other agents were no better");
     for port in 200..220 {
         agent.now_ms += 250;
@@ -96,7 +96,7 @@
         data_bytes: 60,
         ..PacketSpec::default()
     };
-    agent.backend(from_backend(&key, answer));
+    agent.deliver_from_backend(from_backend(&key, answer));
     assert_eq!(agent.flow_agent.busy_requests(), 0);
     agent.deliver(&request(&key, 501));
     assert_eq!(agent.flow_agent.busy_requests(), 0);
@@ -104,7 +104,7 @@
 
 /// Publishes a new lifetime of the backend server beside the agent.
 fn publish_next_lifetime(agent: &mut AgentUnderTest) -> Vec<Action> {
-    let text = state_text(1, BackendState::Ready);
+    let text = entry_text(1, BackendState::Ready);
     let backend = Backend::parse(&text).expect("sound text");
     agent
         .directory
@@ -119,10 +119,10 @@
     agent.handle_published_change();
     open_and_end_request(&mut agent, 1, true);
     agent.open(&flow(2), 500);
-    agent.answer_from_backend(&flow(2));
+    agent.acknowledge_from_backend(&flow(2));
     agent.reconnect();
     agent.open(&flow(3), 900);
-    agent.answer_from_backend(&flow(3));
+    agent.acknowledge_from_backend(&flow(3));
     let actions = publish_next_lifetime(&mut agent);
     assert_eq!(
         resets(&actions),
@@ -140,7 +140,7 @@
     agent.now_ms += 10;
     agent.flow_agent.handle_backend_disconnected(agent.now_ms);
     agent.now_ms += 10;
-    agent.answer_from_backend(&flow(2));
+    agent.acknowledge_from_backend(&flow(2));
     assert!(resets(&publish_next_lifetime(&mut agent)).is_empty());
 }
 
--- a/tests/opaque/batch_diff.rs
+++ b/tests/opaque/batch_diff.rs
@@ -5,12 +5,12 @@
 };
 use endivedyke::{ClusterKey, ConfigStore, Revision};
 
-use crate::builder::state_text;
+use crate::builder::entry_text;
 
 const NAME: &str = "backend/i-1";
 
 fn ready() -> String {
-    state_text(1, BackendState::Ready)
+    entry_text(1, BackendState::Ready)
 }
 
 /// Returns a store that holds the ready backend server at revision 7.
--- a/tests/opaque/builder.rs
+++ b/tests/opaque/builder.rs
@@ -34,10 +34,10 @@
 
 const HEADER_BYTES: usize = 25;
 /// The first byte of the data of an answer that refuses a request.
-const REFUSES: u8 = 0x35;
+const REFUSAL_BYTE: u8 = 0x35;
 
 fn status(packet: &[u8]) -> Option<u16> {
-    (packet.get(HEADER_BYTES) == Some(&REFUSES)).then_some(503)
+    (packet.get(HEADER_BYTES) == Some(&REFUSAL_BYTE)).then_some(503)
 }
 
 fn decode(packet: &[u8]) -> Result<Segment> {
@@ -57,7 +57,7 @@
         accepts: flags & (SYN | ACK) == SYN | ACK,
         ends: flags & FIN != 0,
         resets: flags & RST != 0,
-        returned: flags & BOUNCED != 0,
+        returned: flags & RETURNED != 0,
         sequence: word(5),
         acknowledgement: word(9),
         payload_bytes: (packet.len() - HEADER_BYTES) as u16,
@@ -70,7 +70,7 @@
 }
 
 fn restore(packet: &mut [u8]) {
-    packet[0] &= !BOUNCED;
+    packet[0] &= !RETURNED;
     set_mark(packet, 0);
 }
 
@@ -107,7 +107,7 @@
 }
 
 /// Returns the flow of a port of another caller.
-pub(crate) fn flow_of(caller: Ipv4Addr, port: u16) -> FlowKey {
+pub(crate) fn flow_from(caller: Ipv4Addr, port: u16) -> FlowKey {
     FlowKey {
         caller: SocketAddrV4::new(caller, port),
         ..flow(port)
@@ -127,7 +127,7 @@
 pub(crate) const ACK: u8 = 2;
 pub(crate) const FIN: u8 = 4;
 pub(crate) const RST: u8 = 8;
-pub(crate) const BOUNCED: u8 = 16;
+pub(crate) const RETURNED: u8 = 16;
 
 fn packet(source: SocketAddrV4, destination: SocketAddrV4, spec: PacketSpec) -> Vec<u8> {
     let mut bytes = vec![spec.flags, 0, 0, 0, 0];
@@ -186,33 +186,33 @@
 
 /// Returns a packet with data of a backend server as one that refuses a request.
 pub(crate) fn refusal(mut packet: Vec<u8>) -> Vec<u8> {
-    packet[HEADER_BYTES] = REFUSES;
+    packet[HEADER_BYTES] = REFUSAL_BYTE;
     packet
 }
 
 /// Returns a packet as a backend server hands it back.
-pub(crate) fn bounced(mut packet: Vec<u8>) -> Vec<u8> {
-    packet[0] |= BOUNCED;
+pub(crate) fn returned_packet(mut packet: Vec<u8>) -> Vec<u8> {
+    packet[0] |= RETURNED;
     packet
 }
 
-pub(crate) fn state_text(index: u16, state: BackendState) -> String {
-    state_text_in(ZONE, index, state)
+pub(crate) fn entry_text(index: u16, state: BackendState) -> String {
+    entry_text_in(ZONE, index, state)
 }
 
 /// The same in another availability zone.
-pub(crate) fn state_text_in(zone: &str, index: u16, state: BackendState) -> String {
+pub(crate) fn entry_text_in(zone: &str, index: u16, state: BackendState) -> String {
     let address = backend_address(index).to_string();
     backend_text(SERVICE, &address, zone, 4, state)
 }
 
 /// Returns the text of a ready backend server that tells its start.
-pub(crate) fn started_text(index: u16, started_unix_ms: u64) -> String {
-    started_backend_text(&state_text(index, BackendState::Ready), started_unix_ms)
+pub(crate) fn started_entry_text(index: u16, started_unix_ms: u64) -> String {
+    started_backend_text(&entry_text(index, BackendState::Ready), started_unix_ms)
 }
 
 /// Publishes that an entry names no backend server to use.
-pub(crate) fn overwrite(directory: &mut Directory, index: u16, revision: u64, now_ms: u64) {
+pub(crate) fn overwrite_entry(directory: &mut Directory, index: u16, revision: u64, now_ms: u64) {
     let id = format!("i-{index}");
     let change = BackendChange {
         id: &id,
@@ -233,7 +233,7 @@
     directory.apply_backend(&format!("i-{index}"), backend, revision, now_ms);
 }
 
-pub(crate) fn vanish(
+pub(crate) fn remove_entry(
     directory: &mut Directory,
     index: u16,
     revision: impl Into<Revision>,
@@ -249,7 +249,7 @@
     directory.set_routes(RouteTable::parse(&routes).expect("sound routes"));
     let ids: Vec<String> = (1..=count).map(|index| format!("i-{index}")).collect();
     let change = |(index, id): (u16, &'_ String)| {
-        let text = state_text(index, BackendState::Ready);
+        let text = entry_text(index, BackendState::Ready);
         let backend: Option<Backend> = Backend::parse(&text).expect("sound text");
         (index, id.clone(), backend)
     };
@@ -311,7 +311,7 @@
     }
 
     /// Lets the agent on a host decide.
-    pub(crate) fn with<T>(
+    pub(crate) fn with_agent<T>(
         &mut self,
         at: Ipv4Addr,
         now_ms: u64,
@@ -369,15 +369,15 @@
     }
 
     /// Hands over a packet of the backend server on a flow that was never seen.
-    pub(crate) fn answer_from_backend(&mut self, key: &FlowKey) {
+    pub(crate) fn acknowledge_from_backend(&mut self, key: &FlowKey) {
         let spec = PacketSpec {
             flags: ACK,
             ..PacketSpec::default()
         };
-        self.backend(from_backend(key, spec));
+        self.deliver_from_backend(from_backend(key, spec));
     }
 
-    fn with<T>(&mut self, decide: impl FnOnce(&mut FlowAgent, &AgentContext<'_>) -> T) -> T {
+    fn with_agent<T>(&mut self, decide: impl FnOnce(&mut FlowAgent, &AgentContext<'_>) -> T) -> T {
         let context = AgentContext {
             directory: &self.directory,
             suspicion: &self.suspicion,
@@ -389,16 +389,23 @@
     }
 
     /// Hands over a datagram of another process.
-    pub(crate) fn hear(&mut self, from: Ipv4Addr, message: Message, payload: &[u8]) -> Vec<Action> {
-        self.with(|agent, context| agent.handle_peer_message(context, from, &message, payload))
-            .expect("sound packet")
+    pub(crate) fn deliver_message(
+        &mut self,
+        from: Ipv4Addr,
+        message: Message,
+        payload: &[u8],
+    ) -> Vec<Action> {
+        self.with_agent(|agent, context| {
+            agent.handle_peer_message(context, from, &message, payload)
+        })
+        .expect("sound packet")
     }
 
     /// Hands over a packet that a balancer forwarded.
     pub(crate) fn deliver(&mut self, packet: &[u8]) -> Vec<Action> {
         let mut message = Message::new(MessageKind::Deliver);
         message.host = BALANCER;
-        self.hear(BALANCER, message, packet)
+        self.deliver_message(BALANCER, message, packet)
     }
 
     /// Hands over an opener whose caller has waited in attempts that failed.
@@ -406,21 +413,21 @@
         let mut message = Message::new(MessageKind::Deliver);
         message.host = BALANCER;
         message.waited_ms = waited_ms;
-        self.hear(BALANCER, message, packet)
+        self.deliver_message(BALANCER, message, packet)
     }
 
     /// Hands over the word of another agent about a flow.
-    pub(crate) fn answer(
+    pub(crate) fn deliver_answer(
         &mut self,
         kind: MessageKind,
         from: Ipv4Addr,
         key: &FlowKey,
     ) -> Vec<Action> {
-        self.answer_at(kind, from, key, self.revision)
+        self.deliver_answer_at(kind, from, key, self.revision)
     }
 
     /// The same from an agent that knows another revision.
-    pub(crate) fn answer_at(
+    pub(crate) fn deliver_answer_at(
         &mut self,
         kind: MessageKind,
         from: Ipv4Addr,
@@ -434,12 +441,12 @@
             payload.extend_from_slice(&end.ip().octets());
             payload.extend_from_slice(&end.port().to_be_bytes());
         }
-        self.hear(from, message, &payload)
+        self.deliver_message(from, message, &payload)
     }
 
     /// Hands over a packet of the backend server.
-    pub(crate) fn backend(&mut self, packet: Vec<u8>) -> Vec<Action> {
-        self.with(|agent, context| agent.handle_backend_packet(context, packet))
+    pub(crate) fn deliver_from_backend(&mut self, packet: Vec<u8>) -> Vec<Action> {
+        self.with_agent(|agent, context| agent.handle_backend_packet(context, packet))
             .expect("sound packet")
     }
 
@@ -452,41 +459,41 @@
     }
 
     /// Lets the agent note its load, as with each message that it sends.
-    pub(crate) fn look_at_load(&mut self) {
-        self.with(|agent, context| agent.load_permille(context));
+    pub(crate) fn sample_load(&mut self) {
+        self.with_agent(|agent, context| agent.load_permille(context));
     }
 
     pub(crate) fn check_for_stall(&mut self) -> Vec<Action> {
-        self.with(|agent, context| agent.check_for_stall(context))
+        self.with_agent(|agent, context| agent.check_for_stall(context))
     }
 
-    pub(crate) fn refuse(&mut self) -> Vec<Action> {
-        self.with(|agent, context| agent.handle_backend_refused(context))
+    pub(crate) fn refuse_connection(&mut self) -> Vec<Action> {
+        self.with_agent(|agent, context| agent.handle_backend_refused(context))
     }
 
     pub(crate) fn leave(&mut self) -> Vec<Action> {
-        self.with(|agent, context| agent.leave(context))
+        self.with_agent(|agent, context| agent.leave(context))
     }
 
     pub(crate) fn handle_published_change(&mut self) -> Vec<Action> {
-        self.with(|agent, context| agent.handle_published_change(context))
+        self.with_agent(|agent, context| agent.handle_published_change(context))
     }
 
     pub(crate) fn tick_at(&mut self, now_ms: u64) -> Vec<Action> {
         self.now_ms = now_ms;
-        self.with(|agent, context| agent.tick(context))
+        self.with_agent(|agent, context| agent.tick(context))
     }
 
     /// Opens a flow whose backend server chose this number.
     pub(crate) fn open(&mut self, key: &FlowKey, sequence: u32) {
         self.deliver(&opener(key, 0));
-        self.backend(acceptance(key, sequence));
+        self.deliver_from_backend(acceptance(key, sequence));
         self.deliver(&request(key, sequence + 1));
     }
 }
 
 /// Tells that callers of [`CALLED`] have time for one attempt.
-pub(crate) fn tell_deadline(directory: &mut Directory) {
+pub(crate) fn set_deadline(directory: &mut Directory) {
     let told = parse_deadlines(&format!("{CALLED},300,1500\n"));
     directory.set_deadlines(told.expect("sound"));
 }
@@ -504,7 +511,7 @@
 }
 
 /// Returns the hosts to which actions send messages of a kind.
-pub(crate) fn hosts_told(actions: &[Action], kind: MessageKind) -> Vec<Ipv4Addr> {
+pub(crate) fn receivers(actions: &[Action], kind: MessageKind) -> Vec<Ipv4Addr> {
     let told = actions.iter().filter_map(|action| match action {
         Action::ToPeer(host, message, _) if message.kind == kind => Some(*host),
         _ => None,
@@ -519,7 +526,7 @@
 }
 
 /// Returns the hosts whose backend servers take new flows.
-pub(crate) fn takers(directory: &Directory) -> Vec<Ipv4Addr> {
+pub(crate) fn hosts_taking_flows(directory: &Directory) -> Vec<Ipv4Addr> {
     let table = directory.table(ServiceId::from_name(SERVICE));
     let rows = table.map_or(&[][..], |table| &table.rows);
     let takers = rows.iter().filter(|row| row.weight > 0);
@@ -527,7 +534,7 @@
 }
 
 /// Returns the agent to which a balancer forwards a packet.
-pub(crate) fn host_of(action: &Action) -> Ipv4Addr {
+pub(crate) fn forwarded_to(action: &Action) -> Ipv4Addr {
     let Action::ToPeer(host, message, _) = action else {
         panic!("not forwarded: {action:?}");
     };
--- a/tests/opaque/cold_starts.rs
+++ b/tests/opaque/cold_starts.rs
@@ -9,8 +9,8 @@
 use endivedyke::{Code, ServiceId};
 
 use crate::builder::{
-    ACK, AgentUnderTest, BALANCER, FIN, PacketSpec, SERVICE, ZONE, acceptance, flow, from_backend,
-    host, hosts_told, opener, publish, reaches_backend, request, resets, state_text, tell_deadline,
+    ACK, AgentUnderTest, BALANCER, FIN, PacketSpec, SERVICE, ZONE, acceptance, entry_text, flow,
+    from_backend, host, opener, publish, reaches_backend, receivers, request, resets, set_deadline,
 };
 
 /// The new flows per second that a cold backend server can take in these tests.
@@ -26,7 +26,7 @@
 }
 
 fn publish_cold(directory: &mut Directory, index: u16, now_ms: u64) {
-    let text = cold_backend_text(&state_text(index, BackendState::Ready), COLD_MS as u32);
+    let text = cold_backend_text(&entry_text(index, BackendState::Ready), COLD_MS as u32);
     publish(directory, index, &text, 100 + u64::from(index), now_ms);
 }
 
@@ -53,7 +53,7 @@
         let actions = agent.deliver(&opener(&key, 0));
         if reaches_backend(&actions) {
             taken.push(agent.now_ms);
-            agent.backend(acceptance(&key, 500));
+            agent.deliver_from_backend(acceptance(&key, 500));
             agent.deliver(&request(&key, 501));
             let spec = PacketSpec {
                 flags: ACK | FIN,
@@ -61,9 +61,9 @@
                 acknowledgement: 141,
                 data_bytes: 10,
             };
-            agent.backend(from_backend(&key, spec));
+            agent.deliver_from_backend(from_backend(&key, spec));
         } else {
-            handed_on.push(hosts_told(&actions, MessageKind::HandOn));
+            handed_on.push(receivers(&actions, MessageKind::HandOn));
         }
     }
     (taken, handed_on)
@@ -135,7 +135,7 @@
     let mut agent = AgentUnderTest::new(5, true);
     set_cold_rate(&mut agent.directory);
     agent.flow_agent.handle_backend_disconnected(agent.now_ms);
-    agent.refuse();
+    agent.refuse_connection();
     agent.now_ms += 100;
     agent.flow_agent.handle_backend_listening(agent.now_ms);
     let (taken, _) = flood(&mut agent, 1_000, COLD_MS - 10);
@@ -186,7 +186,7 @@
 #[test]
 fn an_opener_waits_for_the_rate_of_cold_servers_if_callers_have_one_attempt() {
     let mut agent = AgentUnderTest::new(2, true);
-    tell_deadline(&mut agent.directory);
+    set_deadline(&mut agent.directory);
     set_cold_rate(&mut agent.directory);
     for index in 1..=2 {
         publish_cold(&mut agent.directory, index, agent.now_ms);
@@ -195,9 +195,9 @@
     let mut message = Message::new(MessageKind::HandOn);
     message.host = BALANCER;
     message.hops = 1;
-    let actions = agent.hear(host(2), message, &opener(&key, 0));
+    let actions = agent.deliver_message(host(2), message, &opener(&key, 0));
     assert!(!reaches_backend(&actions), "the token bucket starts empty");
-    assert_eq!(hosts_told(&actions, MessageKind::Holds), [BALANCER]);
+    assert_eq!(receivers(&actions, MessageKind::Holds), [BALANCER]);
     let later_ms = agent.now_ms + 100;
     assert!(reaches_backend(&agent.tick_at(later_ms)));
 }
@@ -205,7 +205,7 @@
 #[test]
 fn openers_that_a_cold_server_would_take_too_late_are_refused_at_once() {
     let mut agent = AgentUnderTest::new(2, true);
-    tell_deadline(&mut agent.directory);
+    set_deadline(&mut agent.directory);
     set_cold_rate(&mut agent.directory);
     for index in 1..=2 {
         publish_cold(&mut agent.directory, index, agent.now_ms);
@@ -215,9 +215,9 @@
     message.hops = 1;
     let mut waiting = 0;
     for port in 1..=100 {
-        let actions = agent.hear(host(2), message, &opener(&flow(port), 0));
+        let actions = agent.deliver_message(host(2), message, &opener(&flow(port), 0));
         let is_refused = resets(&actions) == [flow(port)];
-        let waits = hosts_told(&actions, MessageKind::Holds) == [BALANCER];
+        let waits = receivers(&actions, MessageKind::Holds) == [BALANCER];
         assert!(is_refused != waits, "port {port}: {actions:?}");
         waiting += usize::from(waits);
     }
--- a/tests/opaque/crest.rs
+++ b/tests/opaque/crest.rs
@@ -6,7 +6,7 @@
 
 /// Returns a plan of small servers with a load peak of six seconds, whose flows have a few requests
 /// each.
-fn peak_plan(load: f64, tells_deadline: bool) -> Plan {
+fn peak_plan(load: f64, has_deadline: bool) -> Plan {
     const NORMAL_LOAD: f64 = 0.6;
     Plan {
         balancers: 19,
@@ -15,17 +15,17 @@
         timeout_ms: 1_500,
         burst: Some((4_000, 10_000, load / NORMAL_LOAD)),
         for_ms: 12_000,
-        tells_deadline,
+        has_deadline,
         ..Plan::new(42, 2, 30.0, NORMAL_LOAD)
     }
 }
 
 /// Runs a load peak without and with known deadlines, and prints a row for each.
 fn compare(load: f64) -> [Outcome; 2] {
-    [false, true].map(|tells_deadline| {
-        let outcome = Model::run(&peak_plan(load, tells_deadline), Policy::Product);
+    [false, true].map(|has_deadline| {
+        let outcome = Model::run(&peak_plan(load, has_deadline), Policy::Product);
         println!(
-            "| {load} | {tells_deadline} | {} | {:.3} | {} | {} | {} ms | {} ms |",
+            "| {load} | {has_deadline} | {} | {:.3} | {} | {} | {} ms | {} ms |",
             outcome.asked,
             outcome.in_time_share(),
             outcome.late,
--- a/tests/opaque/declines.rs
+++ b/tests/opaque/declines.rs
@@ -6,7 +6,7 @@
 use endivedyke::opaque::{Action, Message, MessageKind, UNKNOWN_LOAD_PERMILLE, decode_steady_load};
 
 use crate::builder::{
-    AgentUnderTest, BALANCER, directory, flow, forwarder, host, hosts_told, opener, reaches_backend,
+    AgentUnderTest, BALANCER, directory, flow, forwarder, host, opener, reaches_backend, receivers,
 };
 
 /// Returns an agent whose backend server has run four requests for five seconds: one for each of
@@ -26,10 +26,10 @@
 }
 
 fn advance(agent: &mut AgentUnderTest, for_ms: u64) {
-    agent.look_at_load();
+    agent.sample_load();
     agent.now_ms += for_ms;
     agent.flow_agent.expire(agent.now_ms);
-    agent.look_at_load();
+    agent.sample_load();
 }
 
 /// Delivers an opener with a mean load and returns the agent's actions.
@@ -37,7 +37,7 @@
     let mut message = Message::new(MessageKind::Deliver);
     message.host = BALANCER;
     message.load_permille = load_permille;
-    agent.hear(BALANCER, message, &opener(&flow(900), 0))
+    agent.deliver_message(BALANCER, message, &opener(&flow(900), 0))
 }
 
 #[test]
@@ -54,7 +54,7 @@
         agent.now_ms += 1_000;
         agent.flow_agent.expire(agent.now_ms);
         let actions = open(&mut agent, mean);
-        let declined = hosts_told(&actions, MessageKind::Declined);
+        let declined = receivers(&actions, MessageKind::Declined);
         assert_eq!(declined.len(), usize::from(declines), "{mean}: {actions:?}");
         assert_eq!(reaches_backend(&actions), !declines, "{mean}");
     }
@@ -65,7 +65,7 @@
     let mut agent = loaded_agent();
     let mut message = Message::new(MessageKind::HandOn);
     message.load_permille = 1;
-    let actions = agent.hear(host(2), message, &opener(&flow(900), 0));
+    let actions = agent.deliver_message(host(2), message, &opener(&flow(900), 0));
     assert!(reaches_backend(&actions));
 }
 
@@ -75,11 +75,11 @@
     let mut message = Message::new(MessageKind::Deliver);
     message.load_permille = 1;
     message.waited_ms = 300;
-    let actions = agent.hear(BALANCER, message, &opener(&flow(900), 0));
-    assert!(hosts_told(&actions, MessageKind::Declined).is_empty());
+    let actions = agent.deliver_message(BALANCER, message, &opener(&flow(900), 0));
+    assert!(receivers(&actions, MessageKind::Declined).is_empty());
     message.waited_ms = 0;
-    let actions = agent.hear(BALANCER, message, &opener(&flow(901), 1));
-    assert!(hosts_told(&actions, MessageKind::Declined).is_empty());
+    let actions = agent.deliver_message(BALANCER, message, &opener(&flow(901), 1));
+    assert!(receivers(&actions, MessageKind::Declined).is_empty());
 }
 
 #[test]
@@ -90,7 +90,7 @@
     }
     advance(&mut agent, 1_000);
     let actions = open(&mut agent, 1);
-    assert!(hosts_told(&actions, MessageKind::Declined).is_empty());
+    assert!(receivers(&actions, MessageKind::Declined).is_empty());
 }
 
 /// Returns the receiver and the load of the message in which an action sends an opener.
--- a/tests/opaque/directory.rs
+++ b/tests/opaque/directory.rs
@@ -5,17 +5,18 @@
 use endivedyke::opaque::{Backend, BackendState};
 
 use crate::builder::{
-    SERVICE, backend_address, directory, host, publish, state_text, takers, vanish,
+    SERVICE, backend_address, directory, entry_text, host, hosts_taking_flows, publish,
+    remove_entry,
 };
 
 #[test]
 fn an_entry_that_lapses_without_draining_takes_flows_for_the_grace_period() {
     let mut directory = directory(2);
-    vanish(&mut directory, 1, 9, 1_000);
+    remove_entry(&mut directory, 1, 9, 1_000);
     directory.expire(3_400, 3_400);
-    assert_eq!(takers(&directory), [host(1), host(2)]);
+    assert_eq!(hosts_taking_flows(&directory), [host(1), host(2)]);
     directory.expire(3_500, 3_500);
-    assert_eq!(takers(&directory), [host(2)]);
+    assert_eq!(hosts_taking_flows(&directory), [host(2)]);
     assert!(!directory.may_hold_flows(host(1)));
 }
 
@@ -25,38 +26,38 @@
     publish(
         &mut directory,
         1,
-        &state_text(1, BackendState::Draining),
+        &entry_text(1, BackendState::Draining),
         8,
         900,
     );
-    assert_eq!(takers(&directory), [host(2)]);
+    assert_eq!(hosts_taking_flows(&directory), [host(2)]);
     assert!(directory.may_hold_flows(host(1)), "it keeps its flows");
-    vanish(&mut directory, 1, 9, 1_000);
+    remove_entry(&mut directory, 1, 9, 1_000);
     assert!(!directory.may_hold_flows(host(1)));
 }
 
 #[test]
 fn a_lapsed_entry_that_comes_back_takes_flows() {
     let mut directory = directory(1);
-    vanish(&mut directory, 1, 9, 1_000);
+    remove_entry(&mut directory, 1, 9, 1_000);
     publish(
         &mut directory,
         1,
-        &state_text(1, BackendState::Ready),
+        &entry_text(1, BackendState::Ready),
         10,
         2_000,
     );
     directory.expire(60_000, 60_000);
-    assert_eq!(takers(&directory), [host(1)]);
+    assert_eq!(hosts_taking_flows(&directory), [host(1)]);
 }
 
 #[test]
 fn the_newest_id_owns_an_address() {
     let mut directory = directory(1);
-    let text = state_text(1, BackendState::Ready).replace(SERVICE, "scene-intake");
+    let text = entry_text(1, BackendState::Ready).replace(SERVICE, "scene-intake");
     let backend = Backend::parse(&text).expect("sound text");
     directory.apply_backend("i-new", backend, 50, 1_000);
-    assert!(takers(&directory).is_empty());
+    assert!(hosts_taking_flows(&directory).is_empty());
     let own = directory
         .local_backend(backend_address(1))
         .expect("published");
@@ -65,7 +66,7 @@
     publish(
         &mut directory,
         1,
-        &state_text(1, BackendState::Ready),
+        &entry_text(1, BackendState::Ready),
         51,
         1_100,
     );
@@ -106,13 +107,13 @@
 fn the_remaining_grace_period_counts_lapses_that_may_end() {
     let mut directory = directory(2);
     assert_eq!(directory.lapse_grace_left_ms(), 0);
-    vanish(&mut directory, 1, 9, 1_000);
+    remove_entry(&mut directory, 1, 9, 1_000);
     directory.expire(1_500, 1_500);
     assert_eq!(directory.lapse_grace_left_ms(), 2_000);
     publish(
         &mut directory,
         1,
-        &state_text(1, BackendState::Ready),
+        &entry_text(1, BackendState::Ready),
         10,
         2_000,
     );
@@ -120,22 +121,22 @@
     publish(
         &mut directory,
         2,
-        &state_text(2, BackendState::Draining),
+        &entry_text(2, BackendState::Draining),
         11,
         3_000,
     );
-    vanish(&mut directory, 2, 12, 3_100);
+    remove_entry(&mut directory, 2, 12, 3_100);
     assert_eq!(directory.lapse_grace_left_ms(), 0, "it was draining");
 }
 
 #[test]
 fn grace_periods_pause_while_values_are_stale() {
     let mut directory = directory(2);
-    vanish(&mut directory, 1, 9, 1_000);
+    remove_entry(&mut directory, 1, 9, 1_000);
     directory.expire(1_200, 9_000);
-    assert_eq!(takers(&directory), [host(1), host(2)]);
+    assert_eq!(hosts_taking_flows(&directory), [host(1), host(2)]);
     directory.expire(3_500, 12_000);
-    assert_eq!(takers(&directory), [host(2)]);
+    assert_eq!(hosts_taking_flows(&directory), [host(2)]);
 }
 
 #[test]
@@ -144,7 +145,7 @@
     directory.record_unlisted(host(3), 1_000);
     assert!(directory.may_hold_flows(host(3)));
     assert_eq!(
-        takers(&directory),
+        hosts_taking_flows(&directory),
         [host(1), host(2)],
         "an unlisted backend server takes no new flows"
     );
@@ -161,13 +162,13 @@
 #[test]
 fn an_entry_whose_address_was_reused_has_no_grace_period() {
     let mut directory = directory(2);
-    let text = state_text(1, BackendState::Ready);
+    let text = entry_text(1, BackendState::Ready);
     let backend = Backend::parse(&text).expect("sound text");
     directory.apply_backend("i-new", backend, 9, 1_000);
-    vanish(&mut directory, 1, 10, 1_100);
+    remove_entry(&mut directory, 1, 10, 1_100);
     directory.expire(1_200, 1_200);
     assert_eq!(directory.lapse_grace_left_ms(), 0);
-    vanish(&mut directory, 2, 11, 1_300);
+    remove_entry(&mut directory, 2, 11, 1_300);
     assert_eq!(
         directory.lapse_grace_left_ms(),
         2_600,
--- a/tests/opaque/evacuation.rs
+++ b/tests/opaque/evacuation.rs
@@ -9,9 +9,9 @@
 use endivedyke::{ClusterKey, Code, ConfigStore, Suspicion};
 
 use crate::builder::{
-    AgentUnderTest, FLOW_LIFETIME_MS, ZONE, directory, flow, forwarder, host, host_of, hosts_told,
-    index_of, opener, publish, reaches_backend, request, resets, state_text, state_text_in, takers,
-    vanish,
+    AgentUnderTest, FLOW_LIFETIME_MS, ZONE, directory, entry_text, entry_text_in, flow,
+    forwarded_to, forwarder, host, hosts_taking_flows, index_of, opener, publish, reaches_backend,
+    receivers, remove_entry, request, resets,
 };
 
 /// The second availability zone of the sites in these tests.
@@ -22,7 +22,7 @@
 fn two_zones(count: u16) -> Directory {
     let mut directory = directory(count);
     for index in (2..=count).step_by(2) {
-        let text = state_text_in(OTHER_ZONE, index, BackendState::Ready);
+        let text = entry_text_in(OTHER_ZONE, index, BackendState::Ready);
         publish(&mut directory, index, &text, 100 + u64::from(index), 0);
     }
     directory
@@ -39,14 +39,17 @@
 fn an_evacuated_zone_gets_no_new_flows_until_it_is_taken_back() {
     let mut directory = two_zones(4);
     directory.set_zone_evacuated(OTHER_ZONE, true, 200);
-    assert_eq!(takers(&directory), [host(1), host(3)]);
+    assert_eq!(hosts_taking_flows(&directory), [host(1), host(3)]);
     assert_eq!(directory.evacuated_zones(), [OTHER_ZONE]);
     for port in 1..100 {
         let action = send(&directory, opener(&flow(port), 0)).expect("sent");
-        assert!([host(1), host(3)].contains(&host_of(&action)), "{port}");
+        assert!(
+            [host(1), host(3)].contains(&forwarded_to(&action)),
+            "{port}"
+        );
     }
     directory.set_zone_evacuated(OTHER_ZONE, false, 201);
-    assert_eq!(takers(&directory).len(), 4);
+    assert_eq!(hosts_taking_flows(&directory).len(), 4);
     assert!(directory.evacuated_zones().is_empty());
 }
 
@@ -56,7 +59,7 @@
     directory.set_zone_evacuated("elsewhere", true, 200);
     directory.set_zone_evacuated("elsewhere", true, 201);
     directory.set_zone_evacuated(ZONE, false, 202);
-    assert_eq!(takers(&directory).len(), 4);
+    assert_eq!(hosts_taking_flows(&directory).len(), 4);
 }
 
 #[test]
@@ -66,22 +69,22 @@
     publish(
         &mut directory,
         5,
-        &state_text(5, BackendState::Ready),
+        &entry_text(5, BackendState::Ready),
         201,
         10,
     );
     // An entry that lapses and comes back is still in its zone.
-    vanish(&mut directory, 1, 202, 20);
+    remove_entry(&mut directory, 1, 202, 20);
     directory.expire(1_000, 1_000);
-    assert_eq!(takers(&directory), [host(2)]);
+    assert_eq!(hosts_taking_flows(&directory), [host(2)]);
     publish(
         &mut directory,
         1,
-        &state_text(1, BackendState::Ready),
+        &entry_text(1, BackendState::Ready),
         203,
         1_500,
     );
-    assert_eq!(takers(&directory), [host(2)]);
+    assert_eq!(hosts_taking_flows(&directory), [host(2)]);
 }
 
 #[test]
@@ -92,7 +95,7 @@
     agent.directory.set_zone_evacuated(ZONE, true, 200);
     let actions = agent.deliver(&opener(&flow(2), 0));
     assert!(!reaches_backend(&actions));
-    let next = hosts_told(&actions, MessageKind::HandOn);
+    let next = receivers(&actions, MessageKind::HandOn);
     assert!(next == [host(2)] || next == [host(4)], "{next:?}");
     assert!(reaches_backend(&agent.deliver(&request(&flow(1), 501))));
     // A late copy of the opener of an open flow still goes to the flow's backend server.
@@ -107,9 +110,9 @@
     // A draining server may stop listening. An evacuated one keeps listening, so refusals prove
     // that it has ended.
     agent.now_ms += 10_000;
-    agent.refuse();
+    agent.refuse_connection();
     agent.now_ms += 200;
-    assert_eq!(resets(&agent.refuse()), [flow(1)]);
+    assert_eq!(resets(&agent.refuse_connection()), [flow(1)]);
 }
 
 #[test]
@@ -128,7 +131,7 @@
 fn openers_are_not_reset_if_servers_are_missing_for_another_reason() {
     let mut directory = two_zones(2);
     directory.set_zone_evacuated(ZONE, true, 200);
-    let draining = state_text_in(OTHER_ZONE, 2, BackendState::Draining);
+    let draining = entry_text_in(OTHER_ZONE, 2, BackendState::Draining);
     publish(&mut directory, 2, &draining, 201, 10);
     // The only server that would take the flow is in the evacuated zone.
     assert!(matches!(
@@ -138,7 +141,7 @@
     publish(
         &mut directory,
         1,
-        &state_text(1, BackendState::Draining),
+        &entry_text(1, BackendState::Draining),
         202,
         10,
     );
@@ -155,7 +158,7 @@
     directory.set_zone_evacuated(ZONE, true, 200);
     directory.set_zone_evacuated(OTHER_ZONE, true, 201);
     let mut reached: Vec<Ipv4Addr> = (1..200)
-        .map(|port| host_of(&send(&directory, request(&flow(port), 501)).expect("sent")))
+        .map(|port| forwarded_to(&send(&directory, request(&flow(port), 501)).expect("sent")))
         .collect();
     reached.sort_unstable();
     reached.dedup();
@@ -169,7 +172,7 @@
     let mut asked_first = 0;
     for port in 1..=40 {
         let mut site = directory(count);
-        let placed = host_of(&send(&site, opener(&flow(port), 0)).expect("sent"));
+        let placed = forwarded_to(&send(&site, opener(&flow(port), 0)).expect("sent"));
         let index = index_of(placed);
         if index == 1 {
             asked_first += 1;
@@ -178,7 +181,7 @@
         publish(
             &mut site,
             index,
-            &state_text_in(OTHER_ZONE, index, BackendState::Ready),
+            &entry_text_in(OTHER_ZONE, index, BackendState::Ready),
             100,
             0,
         );
@@ -187,7 +190,7 @@
         agent.directory = site;
         agent.now_ms = FLOW_LIFETIME_MS / 2;
         let actions = agent.deliver(&request(&flow(port), 501));
-        let asked = hosts_told(&actions, MessageKind::Find);
+        let asked = receivers(&actions, MessageKind::Find);
         asked_first += usize::from(asked.contains(&placed));
     }
     assert_eq!(asked_first, 40);
--- a/tests/opaque/flow_agent.rs
+++ b/tests/opaque/flow_agent.rs
@@ -5,8 +5,8 @@
 
 use crate::builder::{self, host};
 use crate::builder::{
-    ACK, AgentUnderTest, BALANCER, FIN, PacketSpec, acceptance, bounced, flow, from_backend,
-    hosts_told, opener, publish, reaches_backend, request, resets, state_text, vanish,
+    ACK, AgentUnderTest, BALANCER, FIN, PacketSpec, acceptance, entry_text, flow, from_backend,
+    opener, publish, reaches_backend, receivers, remove_entry, request, resets, returned_packet,
 };
 
 #[test]
@@ -14,7 +14,7 @@
     let mut agent = AgentUnderTest::new(1, true);
     let actions = agent.deliver(&opener(&flow(1), 0));
     assert!(reaches_backend(&actions));
-    assert_eq!(hosts_told(&actions, MessageKind::Holds), [BALANCER]);
+    assert_eq!(receivers(&actions, MessageKind::Holds), [BALANCER]);
 }
 
 #[test]
@@ -23,7 +23,7 @@
     publish(
         &mut draining.directory,
         1,
-        &state_text(1, BackendState::Draining),
+        &entry_text(1, BackendState::Draining),
         9,
         0,
     );
@@ -50,9 +50,9 @@
     for (name, mut agent) in cases {
         let actions = agent.deliver(&opener(&flow(1), 0));
         assert!(!reaches_backend(&actions), "{name}");
-        assert_eq!(hosts_told(&actions, MessageKind::HandOn).len(), 1, "{name}");
+        assert_eq!(receivers(&actions, MessageKind::HandOn).len(), 1, "{name}");
         assert_eq!(
-            hosts_told(&actions, MessageKind::Absent),
+            receivers(&actions, MessageKind::Absent),
             [BALANCER],
             "{name}"
         );
@@ -62,11 +62,11 @@
 #[test]
 fn an_opener_of_another_service_never_reaches_the_backend_server() {
     let mut agent = AgentUnderTest::new(2, true);
-    let text = state_text(1, BackendState::Ready).replace(builder::SERVICE, "scene-intake");
+    let text = entry_text(1, BackendState::Ready).replace(builder::SERVICE, "scene-intake");
     publish(&mut agent.directory, 1, &text, 9, 0);
     let actions = agent.deliver(&opener(&flow(1), 0));
     assert!(!reaches_backend(&actions));
-    assert_eq!(hosts_told(&actions, MessageKind::HandOn), [host(2)]);
+    assert_eq!(receivers(&actions, MessageKind::HandOn), [host(2)]);
 }
 
 #[test]
@@ -84,23 +84,23 @@
     let mut agent = AgentUnderTest::new(3, true);
     agent.deliver(&opener(&flow(1), 0));
     agent.deliver(&opener(&flow(2), 0));
-    agent.backend(acceptance(&flow(2), 500));
+    agent.deliver_from_backend(acceptance(&flow(2), 500));
     let actions = agent.tick_at(1_060);
-    assert_eq!(hosts_told(&actions, MessageKind::HandOn).len(), 1);
+    assert_eq!(receivers(&actions, MessageKind::HandOn).len(), 1);
 }
 
 #[test]
 fn the_caller_chooses_where_its_flow_opens() {
     let mut agent = AgentUnderTest::new(2, true);
     agent.deliver(&opener(&flow(1), 0));
-    agent.backend(acceptance(&flow(1), 500));
+    agent.deliver_from_backend(acceptance(&flow(1), 500));
     let other = agent.deliver(&request(&flow(1), 9_001));
     assert!(!reaches_backend(&other));
-    assert_eq!(hosts_told(&other, MessageKind::Find), [host(2)]);
+    assert_eq!(receivers(&other, MessageKind::Find), [host(2)]);
 
     let mut agent = AgentUnderTest::new(2, true);
     agent.deliver(&opener(&flow(1), 0));
-    agent.backend(acceptance(&flow(1), 500));
+    agent.deliver_from_backend(acceptance(&flow(1), 500));
     assert!(reaches_backend(&agent.deliver(&request(&flow(1), 501))));
 }
 
@@ -109,10 +109,10 @@
     let mut agent = AgentUnderTest::new(3, true);
     let started = agent.deliver(&request(&flow(1), 7));
     assert!(!reaches_backend(&started));
-    assert_eq!(hosts_told(&started, MessageKind::Find), [host(2), host(3)]);
-    let one = agent.answer(MessageKind::Absent, host(2), &flow(1));
+    assert_eq!(receivers(&started, MessageKind::Find), [host(2), host(3)]);
+    let one = agent.deliver_answer(MessageKind::Absent, host(2), &flow(1));
     assert!(resets(&one).is_empty());
-    let all = agent.answer(MessageKind::Absent, host(3), &flow(1));
+    let all = agent.deliver_answer(MessageKind::Absent, host(3), &flow(1));
     assert_eq!(resets(&all), [flow(1)]);
 }
 
@@ -120,7 +120,7 @@
 fn an_answer_from_an_agent_with_a_higher_revision_prevents_a_reset() {
     let mut agent = AgentUnderTest::new(2, true);
     agent.deliver(&request(&flow(1), 7));
-    let actions = agent.answer_at(MessageKind::Absent, host(2), &flow(1), 99);
+    let actions = agent.deliver_answer_at(MessageKind::Absent, host(2), &flow(1), 99);
     assert!(resets(&actions).is_empty());
 }
 
@@ -128,9 +128,9 @@
 fn a_silent_agent_prevents_a_reset_and_is_asked_again() {
     let mut agent = AgentUnderTest::new(3, true);
     agent.deliver(&request(&flow(1), 7));
-    agent.answer(MessageKind::Absent, host(2), &flow(1));
+    agent.deliver_answer(MessageKind::Absent, host(2), &flow(1));
     let again = agent.tick_at(1_200);
-    assert_eq!(hosts_told(&again, MessageKind::Find), [host(3)]);
+    assert_eq!(receivers(&again, MessageKind::Find), [host(3)]);
     let late = agent.tick_at(9_000);
     assert!(resets(&late).is_empty());
 }
@@ -139,32 +139,32 @@
 fn packets_of_a_found_flow_are_sent_to_its_holder() {
     let mut agent = AgentUnderTest::new(3, true);
     agent.deliver(&request(&flow(1), 7));
-    let found = agent.answer(MessageKind::Found, host(3), &flow(1));
-    assert_eq!(hosts_told(&found, MessageKind::Holds), [BALANCER]);
+    let found = agent.deliver_answer(MessageKind::Found, host(3), &flow(1));
+    assert_eq!(receivers(&found, MessageKind::Holds), [BALANCER]);
     let next = agent.deliver(&request(&flow(1), 8));
-    assert_eq!(hosts_told(&next, MessageKind::Deliver), [host(3)]);
-    vanish(&mut agent.directory, 3, 9, agent.now_ms);
+    assert_eq!(receivers(&next, MessageKind::Deliver), [host(3)]);
+    remove_entry(&mut agent.directory, 3, 9, agent.now_ms);
     agent.now_ms += 10_000;
     agent.directory.expire(agent.now_ms, agent.now_ms);
     let gone = agent.deliver(&request(&flow(1), 9));
-    assert_eq!(hosts_told(&gone, MessageKind::Find), [host(2)]);
+    assert_eq!(receivers(&gone, MessageKind::Find), [host(2)]);
 }
 
 #[test]
 fn a_restarted_agent_tries_its_backend_server_before_it_answers_absent() {
     let mut agent = AgentUnderTest::new(2, false);
-    let asked = agent.hear(
+    let asked = agent.deliver_message(
         host(2),
         Message::new(MessageKind::Find),
         &request(&flow(1), 7),
     );
     assert!(reaches_backend(&asked));
-    assert!(hosts_told(&asked, MessageKind::Absent).is_empty());
-    let returned = agent.backend(bounced(request(&flow(1), 7)));
-    assert_eq!(hosts_told(&returned, MessageKind::Absent), [host(2)]);
+    assert!(receivers(&asked, MessageKind::Absent).is_empty());
+    let returned = agent.deliver_from_backend(returned_packet(request(&flow(1), 7)));
+    assert_eq!(receivers(&returned, MessageKind::Absent), [host(2)]);
     // A second lookup is answered from the agent's records, so that the packet reaches the server
     // only once.
-    let again = agent.hear(
+    let again = agent.deliver_message(
         host(2),
         Message::new(MessageKind::Find),
         &request(&flow(1), 7),
@@ -175,13 +175,13 @@
 #[test]
 fn a_restarted_agent_answers_found_if_its_backend_server_keeps_the_packet() {
     let mut agent = AgentUnderTest::new(2, false);
-    agent.hear(
+    agent.deliver_message(
         host(2),
         Message::new(MessageKind::Find),
         &request(&flow(1), 7),
     );
     let actions = agent.tick_at(1_060);
-    assert_eq!(hosts_told(&actions, MessageKind::Found), [host(2)]);
+    assert_eq!(receivers(&actions, MessageKind::Found), [host(2)]);
     assert!(reaches_backend(&agent.deliver(&request(&flow(1), 8))));
 }
 
@@ -190,7 +190,7 @@
     let mut agent = AgentUnderTest::new(2, false);
     let sent = request(&flow(1), 7);
     agent.deliver(&sent);
-    let actions = agent.backend(bounced(sent.clone()));
+    let actions = agent.deliver_from_backend(returned_packet(sent.clone()));
     let payloads: Vec<&Vec<u8>> = actions
         .iter()
         .filter_map(|action| match action {
@@ -210,20 +210,20 @@
     let mut agent = AgentUnderTest::new(2, true);
     agent.open(&flow(1), 500);
     assert!(
-        resets(&agent.refuse()).is_empty(),
+        resets(&agent.refuse_connection()).is_empty(),
         "a single refusal does not prove that the process ended"
     );
     agent.now_ms += 200;
-    assert_eq!(resets(&agent.refuse()), [flow(1)]);
+    assert_eq!(resets(&agent.refuse_connection()), [flow(1)]);
     agent.now_ms += 100;
-    assert!(resets(&agent.refuse()).is_empty(), "only once");
+    assert!(resets(&agent.refuse_connection()).is_empty(), "only once");
 }
 
 #[test]
 fn a_backend_server_that_still_sends_has_not_ended() {
     let mut agent = AgentUnderTest::new(2, true);
     agent.open(&flow(1), 500);
-    agent.refuse();
+    agent.refuse_connection();
     agent.now_ms += 200;
     let answer = PacketSpec {
         flags: ACK,
@@ -231,8 +231,8 @@
         acknowledgement: 141,
         data_bytes: 100,
     };
-    agent.backend(from_backend(&flow(1), answer));
-    assert!(resets(&agent.refuse()).is_empty());
+    agent.deliver_from_backend(from_backend(&flow(1), answer));
+    assert!(resets(&agent.refuse_connection()).is_empty());
 }
 
 #[test]
@@ -242,13 +242,13 @@
     publish(
         &mut agent.directory,
         1,
-        &state_text(1, BackendState::Draining),
+        &entry_text(1, BackendState::Draining),
         9,
         0,
     );
     for _ in 0..50 {
         agent.now_ms += 100;
-        assert!(resets(&agent.refuse()).is_empty());
+        assert!(resets(&agent.refuse_connection()).is_empty());
     }
     assert!(resets(&agent.leave()).is_empty(), "it is still published");
 }
@@ -262,17 +262,17 @@
         flags: ACK | FIN,
         ..PacketSpec::default()
     };
-    agent.backend(from_backend(&flow(2), end));
+    agent.deliver_from_backend(from_backend(&flow(2), end));
     publish(
         &mut agent.directory,
         1,
-        &state_text(1, BackendState::Draining),
+        &entry_text(1, BackendState::Draining),
         9,
         0,
     );
-    vanish(&mut agent.directory, 1, 10, 1_100);
+    remove_entry(&mut agent.directory, 1, 10, 1_100);
     agent.now_ms = 5_000;
-    agent.refuse();
+    agent.refuse_connection();
     assert_eq!(resets(&agent.leave()), [flow(1)]);
 }
 
@@ -293,7 +293,7 @@
         acknowledgement: 141,
         data_bytes: 100,
     };
-    agent.backend(from_backend(&flow(1), answer));
+    agent.deliver_from_backend(from_backend(&flow(1), answer));
     assert_eq!(
         (
             agent.flow_agent.busy_requests(),
@@ -307,7 +307,7 @@
         acknowledgement: 141,
         data_bytes: 0,
     };
-    agent.backend(from_backend(&flow(1), end));
+    agent.deliver_from_backend(from_backend(&flow(1), end));
     assert_eq!(
         (
             agent.flow_agent.busy_requests(),
@@ -323,15 +323,15 @@
     // The packet was not returned because the server was dead. Host 2 may hold the flow.
     agent.deliver(&request(&flow(1), 7));
     agent.tick_at(1_100);
-    agent.refuse();
+    agent.refuse_connection();
     agent.now_ms += 200;
-    assert!(resets(&agent.refuse()).is_empty());
+    assert!(resets(&agent.refuse_connection()).is_empty());
 }
 
 #[test]
 fn an_agent_with_an_older_revision_does_not_hand_openers_on_to_the_old_service() {
     let mut agent = AgentUnderTest::new(2, true);
-    let text = state_text(1, BackendState::Ready).replace(builder::SERVICE, "scene-intake");
+    let text = entry_text(1, BackendState::Ready).replace(builder::SERVICE, "scene-intake");
     publish(&mut agent.directory, 1, &text, 9, 0);
     let own = AgentIdentity {
         service: ServiceId::from_name("scene-intake"),
@@ -342,9 +342,9 @@
         let mut message = Message::new(MessageKind::Deliver);
         message.host = BALANCER;
         message.digest.highest = (agent.revision + newer).into();
-        let actions = agent.hear(BALANCER, message, &opener(&flow(1), 0));
+        let actions = agent.deliver_message(BALANCER, message, &opener(&flow(1), 0));
         assert!(!reaches_backend(&actions));
-        assert_eq!(hosts_told(&actions, MessageKind::HandOn).len(), handed_on);
+        assert_eq!(receivers(&actions, MessageKind::HandOn).len(), handed_on);
     }
 }
 
@@ -354,11 +354,11 @@
     for port in 0..20_000 {
         let mut key = flow(1);
         key.caller.set_port(port);
-        agent.answer_from_backend(&key);
+        agent.acknowledge_from_backend(&key);
     }
     let find = Message::new(MessageKind::Find);
-    let asked = agent.hear(host(2), find, &request(&flow(40_000), 7));
-    assert!(hosts_told(&asked, MessageKind::Absent).is_empty());
+    let asked = agent.deliver_message(host(2), find, &request(&flow(40_000), 7));
+    assert!(receivers(&asked, MessageKind::Absent).is_empty());
     assert!(reaches_backend(&asked));
 }
 
@@ -367,7 +367,7 @@
     let mut agent = AgentUnderTest::new(2, true);
     agent.deliver(&request(&flow(1), 7));
     let newer = agent.revision + 5;
-    agent.answer_at(MessageKind::Absent, host(2), &flow(1), newer);
+    agent.deliver_answer_at(MessageKind::Absent, host(2), &flow(1), newer);
     assert!(resets(&agent.tick_at(1_050)).is_empty());
     agent.revision = newer;
     assert_eq!(resets(&agent.tick_at(1_100)), [flow(1)]);
--- a/tests/opaque/flow_search.rs
+++ b/tests/opaque/flow_search.rs
@@ -6,7 +6,7 @@
 use endivedyke::{Code, Suspicion};
 
 use crate::builder::{
-    directory, flow, forwarder, host, host_of, hosts_told, opener, request, resets,
+    directory, flow, forwarded_to, forwarder, host, opener, receivers, request, resets,
 };
 
 /// Returns a search that `agents` agents have greeted.
@@ -27,7 +27,7 @@
 #[test]
 fn a_packet_of_an_open_flow_is_shown_to_all_agents_of_a_small_site() {
     let actions = forward(&mut forwarder(), &mut search(16, 1_000), 1);
-    let mut shown = hosts_told(&actions, MessageKind::Find);
+    let mut shown = receivers(&actions, MessageKind::Find);
     shown.sort_unstable();
     assert_eq!(shown, (1..=16).map(host).collect::<Vec<_>>());
     assert!(resets(&actions).is_empty());
@@ -40,7 +40,7 @@
         let mut shown = Vec::new();
         for copy in 0..copies {
             let actions = forward(&mut balancer, &mut search, 1);
-            let hosts = hosts_told(&actions, MessageKind::Find);
+            let hosts = receivers(&actions, MessageKind::Find);
             let most = if copy < 5 { 16 << copy } else { 256 };
             let left = usize::from(agents) - shown.len();
             assert_eq!(hosts.len(), left.min(most), "{agents} agents");
@@ -60,7 +60,7 @@
         for port in 0..50 {
             let packet = opener(&flow(port), 0);
             let opened = forwarder().handle(&directory, &mut Suspicion::default(), packet, 1_000);
-            let holder = host_of(&opened.expect("forwarded"));
+            let holder = forwarded_to(&opened.expect("forwarded"));
             let shown = search.next_agents(&flow(port), 1_000);
             assert!(shown.contains(&holder), "{agents} agents, flow {port}");
         }
@@ -87,7 +87,7 @@
     forward(&mut balancer, &mut search, 1);
     balancer.record_holder(flow(1), host(4), 1_010);
     let actions = forward(&mut balancer, &mut search, 1);
-    assert_eq!(hosts_told(&actions, MessageKind::Deliver), [host(4)]);
+    assert_eq!(receivers(&actions, MessageKind::Deliver), [host(4)]);
     assert_eq!(actions.len(), 1);
 }
 
--- a/tests/opaque/forwarder.rs
+++ b/tests/opaque/forwarder.rs
@@ -6,8 +6,8 @@
 use endivedyke::{Code, Suspicion};
 
 use crate::builder::{
-    PacketSpec, RST, directory, flow, flow_of, forwarder, from_caller, host, host_of, hosts_told,
-    index_of, opener, publish, request, resets, state_text, state_text_in,
+    PacketSpec, RST, directory, entry_text, entry_text_in, flow, flow_from, forwarded_to,
+    forwarder, from_caller, host, index_of, opener, publish, receivers, request, resets,
 };
 
 fn send(forwarder: &mut Forwarder, packet: Vec<u8>) -> Action {
@@ -22,14 +22,14 @@
     for port in 1..200 {
         let first = send(&mut forwarder(), opener(&flow(port), 0));
         let second = send(&mut forwarder(), request(&flow(port), 1));
-        assert_eq!(host_of(&first), host_of(&second));
+        assert_eq!(forwarded_to(&first), forwarded_to(&second));
     }
 }
 
 #[test]
 fn each_copy_of_an_unanswered_opener_goes_to_another_agent() {
     let mut balancer = forwarder();
-    let copies = [0, 1, 2].map(|copy| host_of(&send(&mut balancer, opener(&flow(1), copy))));
+    let copies = [0, 1, 2].map(|copy| forwarded_to(&send(&mut balancer, opener(&flow(1), copy))));
     assert_ne!(copies[0], copies[1]);
     assert_ne!(copies[1], copies[2]);
 }
@@ -39,14 +39,20 @@
     let mut balancer = forwarder();
     send(&mut balancer, opener(&flow(1), 0));
     balancer.record_holder(flow(1), host(4), 1_001);
-    assert_eq!(host_of(&send(&mut balancer, opener(&flow(1), 1))), host(4));
-    assert_eq!(host_of(&send(&mut balancer, request(&flow(1), 1))), host(4));
+    assert_eq!(
+        forwarded_to(&send(&mut balancer, opener(&flow(1), 1))),
+        host(4)
+    );
+    assert_eq!(
+        forwarded_to(&send(&mut balancer, request(&flow(1), 1))),
+        host(4)
+    );
 }
 
 #[test]
 fn an_opener_without_an_answer_goes_to_the_next_agent_after_the_timeout() {
     let mut balancer = forwarder();
-    let first = host_of(&send(&mut balancer, opener(&flow(1), 0)));
+    let first = forwarded_to(&send(&mut balancer, opener(&flow(1), 0)));
     let mut suspicion = Suspicion::default();
     assert!(
         balancer
@@ -54,7 +60,7 @@
             .is_empty()
     );
     let actions = balancer.tick(&directory(5), &mut suspicion, 1_100);
-    let next = hosts_told(&actions, MessageKind::Deliver);
+    let next = receivers(&actions, MessageKind::Deliver);
     assert_eq!(next.len(), 1);
     assert_ne!(next[0], first);
     assert!(
@@ -86,7 +92,7 @@
 #[test]
 fn an_agent_that_handed_an_opener_on_is_not_suspected() {
     let mut balancer = forwarder();
-    let first = host_of(&send(&mut balancer, opener(&flow(1), 0)));
+    let first = forwarded_to(&send(&mut balancer, opener(&flow(1), 0)));
     balancer.record_handed_on(&flow(1), first);
     let mut suspicion = Suspicion::default();
     assert!(
@@ -103,7 +109,7 @@
     publish(
         &mut directory,
         1,
-        &state_text(1, BackendState::Draining),
+        &entry_text(1, BackendState::Draining),
         9,
         0,
     );
@@ -112,10 +118,10 @@
     balancer.record_holder(flow(1), host(1), 1_000);
     for port in 2..100 {
         let action = balancer.handle(&directory, &mut suspicion, opener(&flow(port), 0), 1_000);
-        assert_eq!(host_of(&action.expect("forwarded")), host(2));
+        assert_eq!(forwarded_to(&action.expect("forwarded")), host(2));
     }
     let action = balancer.handle(&directory, &mut suspicion, request(&flow(1), 1), 1_000);
-    assert_eq!(host_of(&action.expect("forwarded")), host(1));
+    assert_eq!(forwarded_to(&action.expect("forwarded")), host(1));
 }
 
 #[test]
@@ -172,8 +178,8 @@
 
 #[test]
 fn of_two_candidates_the_clearly_less_loaded_one_gets_the_opener() {
-    let first = host_of(&send(&mut forwarder(), opener(&flow(1), 0)));
-    let second = host_of(&send(&mut forwarder(), opener(&flow(1), 1)));
+    let first = forwarded_to(&send(&mut forwarder(), opener(&flow(1), 0)));
+    let second = forwarded_to(&send(&mut forwarder(), opener(&flow(1), 1)));
     let cases = [
         (1_000, 100, second),
         (1_000, 900, first),
@@ -183,15 +189,15 @@
         let mut balancer = forwarder();
         balancer.record_message(first, first_load, 900);
         balancer.record_message(second, second_load, 900);
-        let host = host_of(&send(&mut balancer, opener(&flow(1), 0)));
+        let host = forwarded_to(&send(&mut balancer, opener(&flow(1), 0)));
         assert_eq!(host, chosen, "{first_load} and {second_load}");
     }
 }
 
 #[test]
 fn expired_and_unknown_loads_do_not_change_the_choice() {
-    let first = host_of(&send(&mut forwarder(), opener(&flow(1), 0)));
-    let second = host_of(&send(&mut forwarder(), opener(&flow(1), 1)));
+    let first = forwarded_to(&send(&mut forwarder(), opener(&flow(1), 0)));
+    let second = forwarded_to(&send(&mut forwarder(), opener(&flow(1), 1)));
     for (load, recorded_ms) in [(2_000, 0), (UNKNOWN_LOAD_PERMILLE, 900)] {
         let mut balancer = forwarder();
         balancer.record_message(first, load, recorded_ms);
@@ -199,7 +205,7 @@
         let mut suspicion = Suspicion::default();
         let packet = opener(&flow(1), 0);
         let action = balancer.handle(&directory(5), &mut suspicion, packet, 2_500);
-        assert_eq!(host_of(&action.expect("forwarded")), first);
+        assert_eq!(forwarded_to(&action.expect("forwarded")), first);
     }
 }
 
@@ -207,7 +213,7 @@
 fn three_zones() -> Directory {
     let mut site = directory(9);
     for index in (1..=9).filter(|index| index % 3 != 0) {
-        let text = state_text_in("zone-b", index, BackendState::Ready);
+        let text = entry_text_in("zone-b", index, BackendState::Ready);
         publish(&mut site, index, &text, 20, 0);
     }
     site
@@ -225,7 +231,7 @@
         let mut suspicion = Suspicion::default();
         let packet = opener(&flow(port), 0);
         let action = forwarder().handle(&site, &mut suspicion, packet, 1_000);
-        counts[usize::from(index_of(host_of(&action.expect("forwarded"))))] += 1;
+        counts[usize::from(index_of(forwarded_to(&action.expect("forwarded"))))] += 1;
     }
     let near: u32 = (1..10)
         .filter(|index| index % 3 == 0)
@@ -256,7 +262,7 @@
         let mut suspicion = Suspicion::default();
         let mut send = |copy| {
             let packet = opener(&flow(port), copy);
-            host_of(
+            forwarded_to(
                 &balancer
                     .handle(&site, &mut suspicion, packet, 1_000)
                     .expect("forwarded"),
@@ -280,7 +286,7 @@
         let mut send = |balancer: &mut Forwarder, copy| {
             let packet = opener(&flow(port), copy);
             let action = balancer.handle(&site, &mut suspicion, packet, 1_000);
-            host_of(&action.expect("forwarded"))
+            forwarded_to(&action.expect("forwarded"))
         };
         let mut without_loads = forwarder();
         let (first, second) = (send(&mut without_loads, 0), send(&mut without_loads, 1));
@@ -305,21 +311,17 @@
         let mut without_loads = forwarder();
         let packet = opener(&flow(port), 0);
         let action = without_loads.handle(&site, &mut suspicion, packet.clone(), 1_000);
-        let first = host_of(&action.expect("forwarded"));
+        let first = forwarded_to(&action.expect("forwarded"));
         let mut with_loads = forwarder();
         for index in 1..=5 {
             let load_permille = if host(index) == first { 1_500 } else { 500 };
             with_loads.record_message(host(index), load_permille, 1_000);
         }
         let action = with_loads.handle(&site, &mut suspicion, packet, 1_000);
-        let less_loaded = host_of(&action.expect("forwarded"));
+        let less_loaded = forwarded_to(&action.expect("forwarded"));
         assert_ne!(less_loaded, first);
         let actions = with_loads.tick(&site, &mut suspicion, 1_100);
-        assert_eq!(
-            hosts_told(&actions, MessageKind::Deliver),
-            [first],
-            "{port}"
-        );
+        assert_eq!(receivers(&actions, MessageKind::Deliver), [first], "{port}");
     }
 }
 
@@ -353,7 +355,7 @@
 fn an_opener_of_another_caller_is_not_a_retry() {
     let mut balancer = forwarder();
     balancer.record_failed_attempt(&flow(1), 600, 1_000);
-    let other = flow_of("100.64.0.8".parse().expect("address"), 2);
+    let other = flow_from("100.64.0.8".parse().expect("address"), 2);
     assert_eq!(waited_ms(&mut balancer, opener(&other, 0), 1_007), 0);
     assert_eq!(waited_ms(&mut balancer, opener(&flow(2), 0), 1_008), 608);
 }
--- a/tests/opaque/greetings.rs
+++ b/tests/opaque/greetings.rs
@@ -5,7 +5,7 @@
 
 use endivedyke::opaque::{Action, Message, MessageKind};
 
-use crate::builder::{Agents, BALANCER, flow, host, hosts_told, opener};
+use crate::builder::{Agents, BALANCER, flow, host, opener, receivers};
 
 fn balancer(index: u8) -> Ipv4Addr {
     Ipv4Addr::new(10, 9, 1, index)
@@ -17,7 +17,7 @@
     message.host = from;
     for index in 1..=agents.count() {
         let packet = opener(&flow(index), 0);
-        let result = agents.with(host(index), now_ms, |agent, context| {
+        let result = agents.with_agent(host(index), now_ms, |agent, context| {
             agent.handle_peer_message(context, from, &message, &packet)
         });
         result.expect("sound packet");
@@ -33,11 +33,11 @@
 fn greeted_with(agents: &mut Agents, seeds: &[Ipv4Addr], now_ms: u64) -> Vec<Vec<Ipv4Addr>> {
     let hosts = (1..=agents.count()).map(host);
     let actions: Vec<Vec<Action>> = hosts
-        .map(|at| agents.with(at, now_ms, |agent, context| agent.greet(context, seeds)))
+        .map(|at| agents.with_agent(at, now_ms, |agent, context| agent.greet(context, seeds)))
         .collect();
     let greeted = actions.iter();
     greeted
-        .map(|actions| hosts_told(actions, MessageKind::Greeting))
+        .map(|actions| receivers(actions, MessageKind::Greeting))
         .collect()
 }
 
--- a/tests/opaque/lifetimes.rs
+++ b/tests/opaque/lifetimes.rs
@@ -5,8 +5,8 @@
 use endivedyke::opaque::{Backend, BackendState, Directory};
 
 use crate::builder::{
-    AgentUnderTest, backend_address, directory, flow, host, opener, publish, reaches_backend,
-    resets, started_text, state_text, vanish,
+    AgentUnderTest, backend_address, directory, entry_text, flow, host, opener, publish,
+    reaches_backend, remove_entry, resets, started_entry_text,
 };
 
 /// Returns the revision at which the lifetime published on host 1 began.
@@ -22,8 +22,8 @@
     let mut seen = Vec::new();
     for (revision, start) in (10_u64..).zip(starts) {
         let text = match start {
-            Some(start) => started_text(1, *start),
-            None => state_text(1, BackendState::Ready),
+            Some(start) => started_entry_text(1, *start),
+            None => entry_text(1, BackendState::Ready),
         };
         publish(&mut directory, 1, &text, revision, 1_000);
         seen.push(lifetime(&directory));
@@ -63,9 +63,9 @@
 #[test]
 fn a_restart_while_the_entry_was_missing_is_detected() {
     let mut directory = Directory::default();
-    publish(&mut directory, 1, &started_text(1, 100), 5, 0);
-    vanish(&mut directory, 1, 9, 1_000);
-    publish(&mut directory, 1, &started_text(1, 200), 11, 2_000);
+    publish(&mut directory, 1, &started_entry_text(1, 100), 5, 0);
+    remove_entry(&mut directory, 1, 9, 1_000);
+    publish(&mut directory, 1, &started_entry_text(1, 200), 11, 2_000);
     assert_eq!(lifetime(&directory), 11.into());
     assert!(
         directory
@@ -78,18 +78,18 @@
 #[test]
 fn an_entry_that_comes_back_unchanged_is_the_same_lifetime() {
     let mut directory = Directory::default();
-    publish(&mut directory, 1, &started_text(1, 100), 5, 0);
-    vanish(&mut directory, 1, 9, 1_000);
-    publish(&mut directory, 1, &started_text(1, 100), 11, 2_000);
+    publish(&mut directory, 1, &started_entry_text(1, 100), 5, 0);
+    remove_entry(&mut directory, 1, 9, 1_000);
+    publish(&mut directory, 1, &started_entry_text(1, 100), 11, 2_000);
     assert_eq!(lifetime(&directory), 5.into());
 }
 
 #[test]
 fn an_id_that_starts_again_elsewhere_leaves_its_old_host() {
     let mut directory = directory(2);
-    let text = started_text(1, 100);
+    let text = started_entry_text(1, 100);
     publish(&mut directory, 1, &text, 10, 1_000);
-    let moved = started_text(3, 200);
+    let moved = started_entry_text(3, 200);
     publish(&mut directory, 1, &moved, 11, 1_000);
     assert_eq!(directory.current_hosts(), [host(2), host(3)]);
     assert!(directory.local_backend(backend_address(1)).is_none());
@@ -98,10 +98,10 @@
 #[test]
 fn an_id_that_starts_again_gets_its_address_back() {
     let mut directory = Directory::default();
-    publish(&mut directory, 1, &started_text(1, 100), 5, 0);
-    let other = Backend::parse(&state_text(1, BackendState::Draining)).expect("sound");
+    publish(&mut directory, 1, &started_entry_text(1, 100), 5, 0);
+    let other = Backend::parse(&entry_text(1, BackendState::Draining)).expect("sound");
     directory.apply_backend("i-other", other, 6, 100);
-    publish(&mut directory, 1, &started_text(1, 200), 7, 200);
+    publish(&mut directory, 1, &started_entry_text(1, 200), 7, 200);
     let own = directory
         .local_backend(backend_address(1))
         .expect("published");
@@ -112,7 +112,7 @@
 /// Publishes a start time of the agent's backend server.
 fn publish_start(agent: &mut AgentUnderTest, start: u64) -> Vec<endivedyke::opaque::Action> {
     agent.revision += 1;
-    let text = started_text(1, start);
+    let text = started_entry_text(1, start);
     publish(&mut agent.directory, 1, &text, agent.revision, agent.now_ms);
     agent.handle_published_change()
 }
@@ -122,7 +122,7 @@
     let mut agent = AgentUnderTest::new(3, true);
     publish_start(&mut agent, 100);
     agent.open(&flow(2), 500);
-    agent.answer_from_backend(&flow(2));
+    agent.acknowledge_from_backend(&flow(2));
     agent.reconnect();
     agent
 }
@@ -131,7 +131,7 @@
 fn flows_from_before_a_restart_under_the_same_id_are_reset() {
     let mut agent = agent_after_disconnect();
     agent.open(&flow(3), 900);
-    agent.answer_from_backend(&flow(3));
+    agent.acknowledge_from_backend(&flow(3));
     assert_eq!(resets(&publish_start(&mut agent, 200)), [flow(2)]);
 }
 
--- a/tests/opaque/lookup.rs
+++ b/tests/opaque/lookup.rs
@@ -3,7 +3,7 @@
 use endivedyke::opaque::{BackendState, LookupOutcome, LookupPacket, Lookups, OpaqueMetrics};
 
 use crate::builder::{
-    BALANCER, WIRE, directory, flow, host, publish, request, state_text, tell_deadline, vanish,
+    BALANCER, WIRE, directory, entry_text, flow, host, publish, remove_entry, request, set_deadline,
 };
 
 /// The agents that likely hold the flow.
@@ -52,16 +52,16 @@
         [host(3)]
     );
     // A backend server that vanished without draining may come back. One that drained first is gone.
-    vanish(&mut grown, 3, 9, 1_300);
+    remove_entry(&mut grown, 3, 9, 1_300);
     assert_eq!(lookups.outcome(&flow(1), &grown, 9), LookupOutcome::Pending);
     publish(
         &mut grown,
         3,
-        &state_text(3, BackendState::Draining),
+        &entry_text(3, BackendState::Draining),
         10,
         1_400,
     );
-    vanish(&mut grown, 3, 11, 1_500);
+    remove_entry(&mut grown, 3, 11, 1_500);
     assert_ne!(
         lookups.outcome(&flow(1), &grown, 11),
         LookupOutcome::Pending
@@ -164,7 +164,7 @@
         start_lookup(&mut lookups, 2);
         let mut directory = directory(2);
         if has_deadline {
-            tell_deadline(&mut directory);
+            set_deadline(&mut directory);
         }
         let is_queried_at = |now_ms: &u64| !lookups.due_queries(&directory, *now_ms).is_empty();
         let queried_ms: Vec<u64> = (1_000..3_000).step_by(10).filter(is_queried_at).collect();
--- a/tests/opaque/message_bounds.rs
+++ b/tests/opaque/message_bounds.rs
@@ -38,12 +38,12 @@
         }
     }
 
-    fn with<T>(
+    fn with_agent<T>(
         &mut self,
         at: Ipv4Addr,
         decide: impl FnOnce(&mut FlowAgent, &AgentContext<'_>) -> T,
     ) -> T {
-        self.agents.with(at, self.now_ms, decide)
+        self.agents.with_agent(at, self.now_ms, decide)
     }
 
     /// Delivers a message and all messages that follow from it. Returns the agent that handed the packet to
@@ -59,7 +59,7 @@
         if to == BALANCER {
             return None;
         }
-        let actions = self.with(to, |agent, context| {
+        let actions = self.with_agent(to, |agent, context| {
             agent.handle_peer_message(context, from, message, payload)
         });
         self.run_actions(to, actions.expect("sound packet"))
@@ -83,7 +83,7 @@
     /// Ticks an agent after a time. Returns the agent that handed a packet to its backend server.
     fn tick_after(&mut self, elapsed_ms: u64, at: Ipv4Addr) -> Option<Ipv4Addr> {
         self.now_ms += elapsed_ms;
-        let actions = self.with(at, |agent, context| agent.tick(context));
+        let actions = self.with_agent(at, |agent, context| agent.tick(context));
         self.run_actions(at, actions)
     }
 
@@ -126,7 +126,7 @@
     }
 
     fn open(&mut self, key: &FlowKey, at: Ipv4Addr) {
-        let answer = self.with(at, |agent, context| {
+        let answer = self.with_agent(at, |agent, context| {
             agent.handle_backend_packet(context, acceptance(key, 500))
         });
         answer.expect("sound packet");
--- a/tests/opaque/mixed_objectives.rs
+++ b/tests/opaque/mixed_objectives.rs
@@ -6,8 +6,8 @@
 use endivedyke::opaque::{FlowKey, MessageKind, ROUTES_HEADER, RouteTable, parse_deadlines};
 
 use crate::builder::{
-    ACK, AgentUnderTest, CALLED, PacketSpec, SERVICE, flow, from_backend, hosts_told, opener,
-    reaches_backend, refusal,
+    ACK, AgentUnderTest, CALLED, PacketSpec, SERVICE, flow, from_backend, opener, reaches_backend,
+    receivers, refusal,
 };
 use crate::waiting::{answer, next_request_on, packets_to_backend};
 
@@ -62,7 +62,7 @@
     let actions = agent.deliver(&opener(&other_flow(101), 0));
     assert!(!reaches_backend(&actions));
     assert_eq!(
-        hosts_told(&actions, MessageKind::Holds).len(),
+        receivers(&actions, MessageKind::Holds).len(),
         1,
         "it is queued"
     );
@@ -72,7 +72,7 @@
 fn a_request_with_a_longer_objective_or_none_is_queued_behind_the_others() {
     for other in [LONGER_DEADLINE, NO_DEADLINE] {
         let mut agent = agent_with_queued_opener(other);
-        agent.answer_from_backend(&other_flow(200));
+        agent.acknowledge_from_backend(&other_flow(200));
         let actions = agent.deliver(&other_request(200));
         assert!(!reaches_backend(&actions), "{other:?}");
         let mut handed_over = Vec::new();
@@ -89,7 +89,7 @@
 #[test]
 fn a_request_without_a_deadline_waits_at_most_as_long_as_an_unanswered_attempt() {
     let mut agent = agent_with_queued_opener(NO_DEADLINE);
-    agent.answer_from_backend(&other_flow(200));
+    agent.acknowledge_from_backend(&other_flow(200));
     assert!(!reaches_backend(&agent.deliver(&other_request(200))));
     let until_ms = agent.now_ms + 1_400;
     let mut handed_ms = Vec::new();
@@ -125,7 +125,7 @@
             acknowledgement: 141,
             data_bytes: 60,
         };
-        agent.backend(refusal(from_backend(&flow(1), spec)));
+        agent.deliver_from_backend(refusal(from_backend(&flow(1), spec)));
         agent.deliver(&opener(&flow(99), 0));
         let waits = agent.deliver(&opener(&flow(100), 0));
         assert!(
--- a/tests/opaque/model.rs
+++ b/tests/opaque/model.rs
@@ -12,8 +12,8 @@
 use proptest::prelude::*;
 
 use crate::builder::{
-    BALANCER, FLOW_LIFETIME_MS, WIRE, ZONE, acceptance, bounced, directory, flow, host, identity,
-    index_of, opener, request, vanish,
+    BALANCER, FLOW_LIFETIME_MS, WIRE, ZONE, acceptance, directory, flow, host, identity, index_of,
+    opener, remove_entry, request, returned_packet,
 };
 
 /// Few agents, which are all asked at once, and enough that only the likely ones are asked first.
@@ -293,7 +293,7 @@
 
     fn restore(&mut self, missing: u16) {
         let mut copy = directory(self.agents.len() as u16);
-        vanish(&mut copy, missing, REVISION + 1, 0);
+        remove_entry(&mut copy, missing, REVISION + 1, 0);
         copy.expire(u64::MAX / 2, 0);
         self.era += 1;
         self.restored = Some(Restored {
@@ -471,7 +471,7 @@
             backend.open.push(key);
             None
         } else {
-            Some(bounced(packet))
+            Some(returned_packet(packet))
         };
         if let Some(answer) = answer {
             self.decide(index, |agent, context| {
--- a/tests/opaque/offers.rs
+++ b/tests/opaque/offers.rs
@@ -5,7 +5,7 @@
 use endivedyke::Suspicion;
 use endivedyke::opaque::{Action, Directory, FlowKey, FlowSearch, Forwarder, MessageKind};
 
-use crate::builder::{ZONE, directory, flow, forwarder, opener, tell_deadline};
+use crate::builder::{ZONE, directory, flow, forwarder, opener, set_deadline};
 
 /// A balancer and its agents, on a route with a deadline.
 struct Balancer {
@@ -18,7 +18,7 @@
 impl Balancer {
     fn with_agents(agents: u16) -> Self {
         let mut directory = directory(agents);
-        tell_deadline(&mut directory);
+        set_deadline(&mut directory);
         Self {
             forwarder: forwarder(),
             directory,
--- a/tests/opaque/opened_flows.rs
+++ b/tests/opaque/opened_flows.rs
@@ -5,8 +5,8 @@
 use endivedyke::opaque::{Action, Message, MessageKind};
 
 use crate::builder::{
-    ACK, AgentUnderTest, BALANCER, PacketSpec, acceptance, bounced, directory, flow, forwarder,
-    from_backend, host, hosts_told, opener, reaches_backend, request, resets,
+    ACK, AgentUnderTest, BALANCER, PacketSpec, acceptance, directory, flow, forwarder,
+    from_backend, host, opener, reaches_backend, receivers, request, resets, returned_packet,
 };
 
 /// Returns the number of notices to the balancer that a flow has opened.
@@ -23,7 +23,7 @@
     let mut message = Message::new(MessageKind::Deliver);
     message.host = BALANCER;
     message.has_opened = true;
-    agent.hear(BALANCER, message, packet)
+    agent.deliver_message(BALANCER, message, packet)
 }
 
 /// Returns whether the balancer marks a packet as one of a flow that has opened at the receiver.
@@ -41,9 +41,9 @@
         let mut agent = AgentUnderTest::new(count, false);
         let packet = request(&flow(1), 501);
         assert!(reaches_backend(&deliver_opened(&mut agent, &packet)));
-        let actions = agent.backend(bounced(packet));
+        let actions = agent.deliver_from_backend(returned_packet(packet));
         assert_eq!(resets(&actions), [flow(1)], "{count} agents");
-        assert!(hosts_told(&actions, MessageKind::Find).is_empty());
+        assert!(receivers(&actions, MessageKind::Find).is_empty());
     }
 }
 
@@ -63,10 +63,10 @@
         let packet = request(&flow(1), 501);
         let mut actions = agent.deliver(&packet);
         if !knows_all_flows {
-            actions = agent.backend(bounced(packet));
+            actions = agent.deliver_from_backend(returned_packet(packet));
         }
         assert!(resets(&actions).is_empty());
-        assert_eq!(hosts_told(&actions, MessageKind::Find).len(), 16);
+        assert_eq!(receivers(&actions, MessageKind::Find).len(), 16);
     }
 }
 
@@ -77,7 +77,10 @@
     let actions = deliver_opened(&mut agent, &packet);
     assert!(resets(&actions).is_empty());
     assert!(reaches_backend(&actions));
-    assert_eq!(resets(&agent.backend(bounced(packet))), [flow(1)]);
+    assert_eq!(
+        resets(&agent.deliver_from_backend(returned_packet(packet))),
+        [flow(1)]
+    );
 }
 
 #[test]
@@ -89,7 +92,7 @@
         0,
         "the caller may choose another one"
     );
-    agent.backend(acceptance(&flow(1), 500));
+    agent.deliver_from_backend(acceptance(&flow(1), 500));
     let opened = agent.deliver(&request(&flow(1), 501));
     assert_eq!(count_opened_notices(&opened), 1);
     assert_eq!(
@@ -119,7 +122,7 @@
 
     let mut other = AgentUnderTest::new(3, true);
     other.deliver(&opener(&flow(1), 0));
-    other.backend(acceptance(&flow(1), 500));
+    other.deliver_from_backend(acceptance(&flow(1), 500));
     let chosen_elsewhere = other.deliver(&request(&flow(1), 901));
     assert_eq!(count_opened_notices(&chosen_elsewhere), 0);
 
@@ -138,7 +141,7 @@
         data_bytes: 10,
         ..PacketSpec::default()
     };
-    restarted.backend(from_backend(&flow(1), spec));
+    restarted.deliver_from_backend(from_backend(&flow(1), spec));
     let shown = restarted.deliver(&request(&flow(1), 511));
     assert_eq!(count_opened_notices(&shown), 1);
 }
--- a/tests/opaque/openers.rs
+++ b/tests/opaque/openers.rs
@@ -6,8 +6,8 @@
 };
 
 use crate::builder::{
-    AgentUnderTest, BALANCER, CALLED, SERVICE, flow, opener, publish, reaches_backend, request,
-    resets, state_text,
+    AgentUnderTest, BALANCER, CALLED, SERVICE, entry_text, flow, opener, publish, reaches_backend,
+    request, resets,
 };
 
 #[test]
@@ -107,7 +107,7 @@
         for copy in 0..3 {
             for (after_ms, taken) in [(1_999, cold[copy]), (2_000, warm[copy])] {
                 let mut agent = AgentUnderTest::new(3, true);
-                let text = cold_backend_text(&state_text(1, BackendState::Ready), 2_000);
+                let text = cold_backend_text(&entry_text(1, BackendState::Ready), 2_000);
                 publish(&mut agent.directory, 1, &text, 9, 1_000);
                 agent.now_ms = 1_000 + after_ms;
                 for port in 100..100 + busy {
--- a/tests/opaque/outcomes.rs
+++ b/tests/opaque/outcomes.rs
@@ -2,7 +2,7 @@
 
 use crate::builder::{
     ACK, AgentUnderTest, FIN, PacketSpec, RST, flow, from_backend, from_caller, opener,
-    reaches_backend, request, tell_deadline,
+    reaches_backend, request, set_deadline,
 };
 use crate::waiting::answer;
 
@@ -16,7 +16,7 @@
 fn agent(has_deadline: bool, knows_all_flows: bool) -> AgentUnderTest {
     let mut agent = AgentUnderTest::new(3, knows_all_flows);
     if has_deadline {
-        tell_deadline(&mut agent.directory);
+        set_deadline(&mut agent.directory);
     }
     agent
 }
@@ -42,7 +42,7 @@
         sequence: 501,
         ..PacketSpec::default()
     };
-    agent.backend(from_backend(&flow(port), end));
+    agent.deliver_from_backend(from_backend(&flow(port), end));
 }
 
 /// Delivers a request on a flow from before the start of the agent, which the backend server resets.
@@ -101,8 +101,8 @@
         };
         // The first packet shows that the flow exists, the second what the backend server has
         // acknowledged.
-        agent.backend(from_backend(&flow(port), acknowledgement));
-        agent.backend(from_backend(&flow(port), acknowledgement));
+        agent.deliver_from_backend(from_backend(&flow(port), acknowledgement));
+        agent.deliver_from_backend(from_backend(&flow(port), acknowledgement));
         agent.deliver(&request(&flow(port), 501));
         let leaves = PacketSpec {
             flags: ACK | FIN,
@@ -127,7 +127,7 @@
 fn resets_of_old_flows_that_were_proved_to_be_held_are_failures() {
     let mut agent = agent(true, false);
     for port in ENDED {
-        agent.answer_from_backend(&flow(port));
+        agent.acknowledge_from_backend(&flow(port));
         flow_from_before_is_reset(&mut agent, port);
     }
     assert!(!takes_openers(&mut agent));
--- a/tests/opaque/queue_model.rs
+++ b/tests/opaque/queue_model.rs
@@ -16,7 +16,7 @@
 use rand::{Rng, SeedableRng};
 
 use crate::builder::{
-    ACK, Agents, CALLED, FIN, PacketSpec, SERVICE, WIRE, flow_of, forwarder, from_backend,
+    ACK, Agents, CALLED, FIN, PacketSpec, SERVICE, WIRE, flow_from, forwarder, from_backend,
     from_caller, host, index_of, opener,
 };
 use crate::queue_plan::{Outcome, Plan, Policy};
@@ -62,7 +62,7 @@
 fn agents(plan: &Plan) -> Agents {
     let mut agents = Agents::new(plan.servers);
     publish_slots(&mut agents.directory, plan, 1_000, 0);
-    if plan.tells_deadline {
+    if plan.has_deadline {
         let text = format!("{CALLED},{},{}\n", plan.aim_ms, plan.timeout_ms);
         agents
             .directory
@@ -292,7 +292,7 @@
     /// Returns the flow of an attempt.
     fn key(&self, port: u16) -> FlowKey {
         let caller = self.attempts[&port].caller;
-        flow_of(Ipv4Addr::new(100, 64, 0, caller), port)
+        flow_from(Ipv4Addr::new(100, 64, 0, caller), port)
     }
 
     /// Chooses a server as a balancer does that is alone.
--- a/tests/opaque/queue_model/processes.rs
+++ b/tests/opaque/queue_model/processes.rs
@@ -61,7 +61,8 @@
             message.load_permille = UNKNOWN_LOAD_PERMILLE;
         }
         if from != BALANCER && message.load_permille == UNKNOWN_LOAD_PERMILLE {
-            message.load_permille = self.with(from, |agent, context| agent.load_permille(context));
+            message.load_permille =
+                self.with_agent(from, |agent, context| agent.load_permille(context));
         }
         message.append(&mut payload);
         if to == BALANCER {
@@ -71,17 +72,17 @@
         }
     }
 
-    fn with<T>(
+    fn with_agent<T>(
         &mut self,
         at: Ipv4Addr,
         decide: impl FnOnce(&mut FlowAgent, &AgentContext<'_>) -> T,
     ) -> T {
-        self.agents.with(at, self.now_ms, decide)
+        self.agents.with_agent(at, self.now_ms, decide)
     }
 
     pub(super) fn agent_hears(&mut self, at: Ipv4Addr, from: Ipv4Addr, datagram: &[u8]) {
         let (payload, message) = Message::split(datagram).expect("sound");
-        let actions = self.with(at, |agent, context| {
+        let actions = self.with_agent(at, |agent, context| {
             agent.handle_peer_message(context, from, &message, payload)
         });
         self.perform(at, actions.unwrap_or_default());
@@ -137,7 +138,7 @@
     }
 
     pub(super) fn backend_says(&mut self, at: Ipv4Addr, packet: Vec<u8>) {
-        let actions = self.with(at, |agent, context| {
+        let actions = self.with_agent(at, |agent, context| {
             agent.handle_backend_packet(context, packet)
         });
         self.perform(at, actions.unwrap_or_default());
@@ -155,7 +156,7 @@
         }
         self.perform(BALANCER, actions);
         for index in 1..=self.plan.servers {
-            let actions = self.with(host(index), |agent, context| agent.tick(context));
+            let actions = self.with_agent(host(index), |agent, context| agent.tick(context));
             self.perform(host(index), actions);
         }
     }
@@ -167,7 +168,7 @@
             let server = &self.servers[usize::from(index) - 1];
             let busy = server.queue.len() + server.running.len();
             self.told[usize::from(index) - 1] = busy as f64 / self.plan.slots as f64;
-            let permille = self.with(host(index), |agent, context| {
+            let permille = self.with_agent(host(index), |agent, context| {
                 agent.expire(context.now_ms);
                 agent.load_permille(context)
             });
--- a/tests/opaque/queue_plan.rs
+++ b/tests/opaque/queue_plan.rs
@@ -63,7 +63,7 @@
     /// When callers give up, in milliseconds.
     pub(crate) timeout_ms: u64,
     /// Whether the configuration tells for how long callers wait.
-    pub(crate) tells_deadline: bool,
+    pub(crate) has_deadline: bool,
     pub(crate) seed: u64,
 }
 
@@ -83,7 +83,7 @@
             for_ms: 20_000,
             aim_ms: 150,
             timeout_ms: 3_000,
-            tells_deadline: false,
+            has_deadline: false,
             seed: 1,
         }
     }
--- a/tests/opaque/restarts.rs
+++ b/tests/opaque/restarts.rs
@@ -5,7 +5,7 @@
 
 use crate::builder::{
     ACK, AgentUnderTest, PacketSpec, flow, from_backend, from_caller, host, reaches_backend,
-    request, tell_deadline,
+    request, set_deadline,
 };
 
 /// The sequence number after the last byte of [`request`].
@@ -14,7 +14,7 @@
 /// Returns an agent that has just started beside a backend server that holds flows.
 fn restarted_agent() -> AgentUnderTest {
     let mut agent = AgentUnderTest::new(3, false);
-    tell_deadline(&mut agent.directory);
+    set_deadline(&mut agent.directory);
     agent
 }
 
@@ -26,11 +26,11 @@
         acknowledgement,
         data_bytes: 60,
     };
-    agent.backend(from_backend(key, spec));
+    agent.deliver_from_backend(from_backend(key, spec));
 }
 
 fn find_reaches_backend(agent: &mut AgentUnderTest, packet: &[u8]) -> bool {
-    let actions = agent.hear(host(2), Message::new(MessageKind::Find), packet);
+    let actions = agent.deliver_message(host(2), Message::new(MessageKind::Find), packet);
     reaches_backend(&actions)
 }
 
@@ -72,6 +72,6 @@
         acknowledgement: REQUEST_END + 40,
         data_bytes: 60,
     };
-    agent.backend(from_backend(&key, spec));
+    agent.deliver_from_backend(from_backend(&key, spec));
     assert_eq!(agent.flow_agent.busy_requests(), 0);
 }
--- a/tests/opaque/restored_platform.rs
+++ b/tests/opaque/restored_platform.rs
@@ -8,7 +8,7 @@
 use endivedyke::{AcceptOutcome, ClusterKey, ConfigStore, Revision, VersionStamp};
 use proptest::prelude::*;
 
-use crate::builder::{started_text, state_text};
+use crate::builder::{entry_text, started_entry_text};
 
 const ENTRY: &str = "backend/i-1";
 /// The time for which the entry of a server that has ended stays in a copy, in milliseconds: three
@@ -72,8 +72,8 @@
 
 #[test]
 fn an_entry_from_the_older_copy_does_not_undo_a_drain() {
-    let ready = state_text(1, BackendState::Ready);
-    let draining = state_text(1, BackendState::Draining);
+    let ready = entry_text(1, BackendState::Ready);
+    let draining = entry_text(1, BackendState::Draining);
     let mut store = store();
     store.accept(ENTRY, 7, &draining).expect("sound");
     let copied = revision(1, 5);
@@ -93,9 +93,9 @@
 #[test]
 fn the_first_value_of_an_era_is_already_treated_as_unsettled() {
     let mut store = store();
-    let draining = state_text(1, BackendState::Draining);
+    let draining = entry_text(1, BackendState::Draining);
     store.accept(ENTRY, 7, &draining).expect("sound");
-    let ready = state_text(1, BackendState::Ready);
+    let ready = entry_text(1, BackendState::Ready);
     assert_eq!(
         store.accept(ENTRY, revision(1, 5), &ready),
         Ok(AcceptOutcome::Stale)
@@ -104,13 +104,13 @@
 
 #[test]
 fn after_a_restore_a_drained_server_stays_gone_and_a_lapsed_one_comes_back() {
-    let ready = state_text(1, BackendState::Ready);
+    let ready = entry_text(1, BackendState::Ready);
     for (last, accepted) in [
         (BackendState::Draining, AcceptOutcome::Stale),
         (BackendState::Ready, AcceptOutcome::Accepted),
     ] {
         let mut store = store();
-        store.accept(ENTRY, 7, &state_text(1, last)).expect("sound");
+        store.accept(ENTRY, 7, &entry_text(1, last)).expect("sound");
         store.accept(ENTRY, 8, "gone").expect("sound");
         store.accept("other", revision(1, 4), "").expect("sound");
         assert_eq!(store.accept(ENTRY, revision(1, 5), &ready), Ok(accepted));
@@ -121,15 +121,15 @@
 fn a_restore_does_not_bring_an_earlier_lifetime_back() {
     let mut store = store();
     store
-        .accept(ENTRY, 7, &started_text(1, 200))
+        .accept(ENTRY, 7, &started_entry_text(1, 200))
         .expect("sound");
     store.accept("other", revision(1, 4), "").expect("sound");
-    let earlier = started_text(1, 100);
+    let earlier = started_entry_text(1, 100);
     assert_eq!(
         store.accept(ENTRY, revision(1, 5), &earlier),
         Ok(AcceptOutcome::Stale)
     );
-    let later = started_text(1, 300);
+    let later = started_entry_text(1, 300);
     assert_eq!(
         store.accept(ENTRY, revision(1, 6), &later),
         Ok(AcceptOutcome::Accepted)
--- a/tests/opaque/reused_addresses.rs
+++ b/tests/opaque/reused_addresses.rs
@@ -10,8 +10,8 @@
 use endivedyke::opaque::{Backend, BackendState, Directory};
 
 use crate::builder::{
-    AgentUnderTest, FLOW_LIFETIME_MS, backend_address, flow, publish, resets, started_text,
-    state_text,
+    AgentUnderTest, FLOW_LIFETIME_MS, backend_address, entry_text, flow, publish, resets,
+    started_entry_text,
 };
 
 /// The id of the entry that the older copy shows at the address of the server on host 1, which has
@@ -31,14 +31,14 @@
 #[test]
 fn the_server_that_started_last_keeps_its_address() {
     let mut directory = Directory::default();
-    publish(&mut directory, 1, &started_text(1, 200), 40, 0);
-    publish_old(&mut directory, &started_text(1, 100), 5, 1_000);
+    publish(&mut directory, 1, &started_entry_text(1, 200), 40, 0);
+    publish_old(&mut directory, &started_entry_text(1, 100), 5, 1_000);
     let own = directory
         .local_backend(backend_address(1))
         .expect("published");
     assert_eq!(own.first_revision, 40.into());
     // A server that starts after the restore gets the address.
-    let next = Backend::parse(&started_text(1, 300)).expect("sound");
+    let next = Backend::parse(&started_entry_text(1, 300)).expect("sound");
     directory.apply_backend("i-next", next, restored(9), 2_000);
     let own = directory
         .local_backend(backend_address(1))
@@ -52,13 +52,13 @@
     publish(
         &mut directory,
         1,
-        &state_text(1, BackendState::Ready),
+        &entry_text(1, BackendState::Ready),
         40,
         0,
     );
     publish_old(
         &mut directory,
-        &state_text(1, BackendState::Draining),
+        &entry_text(1, BackendState::Draining),
         5,
         1_000,
     );
@@ -73,11 +73,14 @@
 
 #[test]
 fn an_entry_of_the_older_copy_does_not_prove_that_the_server_ended() {
-    for old in [started_text(1, 100), state_text(1, BackendState::Ready)] {
+    for old in [
+        started_entry_text(1, 100),
+        entry_text(1, BackendState::Ready),
+    ] {
         let mut agent = AgentUnderTest::new(3, true);
         agent.handle_published_change();
         agent.open(&flow(2), 500);
-        agent.answer_from_backend(&flow(2));
+        agent.acknowledge_from_backend(&flow(2));
         agent.reconnect();
         publish_old(&mut agent.directory, &old, 2, agent.now_ms);
         assert!(resets(&agent.handle_published_change()).is_empty(), "{old}");
--- a/tests/opaque/stalls.rs
+++ b/tests/opaque/stalls.rs
@@ -4,8 +4,8 @@
 use endivedyke::{RECOVERY_RAMP_MS, STALL_CHECK_INTERVAL_MS, STALL_PROBE_TIMEOUT_MS};
 
 use crate::builder::{
-    ACK, AgentUnderTest, BALANCER, CALLED, FIN, PacketSpec, RST, acceptance, bounced, flow,
-    from_backend, from_caller, host, opener, reaches_backend, refusal, request, resets,
+    ACK, AgentUnderTest, BALANCER, CALLED, FIN, PacketSpec, RST, acceptance, flow, from_backend,
+    from_caller, host, opener, reaches_backend, refusal, request, resets, returned_packet,
 };
 
 const REQUEST_BYTES: usize = 40;
@@ -30,7 +30,7 @@
     fn open(agent: &mut AgentUnderTest, port: u16) -> Self {
         let key = flow(port);
         agent.deliver(&opener(&key, 0));
-        agent.backend(acceptance(&key, 500));
+        agent.deliver_from_backend(acceptance(&key, 500));
         Self {
             key,
             next: 101,
@@ -73,7 +73,7 @@
         self.request(agent);
         agent.now_ms += 10;
         let answer = self.answer(answer_bytes);
-        agent.backend(answer);
+        agent.deliver_from_backend(answer);
         self.acknowledge(agent);
     }
 }
@@ -106,7 +106,7 @@
         next: 101,
         expects: 501,
     };
-    agent.backend(caller.answer(0));
+    agent.deliver_from_backend(caller.answer(0));
     caller
 }
 
@@ -120,7 +120,7 @@
         let mut caller = caller_of_known_flow(agent, ports.next().expect("a port"));
         if reaches_backend(&caller.send(agent, 0, REQUEST_BYTES)) {
             let answer = refusal(caller.answer(ANSWER_BYTES));
-            agent.backend(answer);
+            agent.deliver_from_backend(answer);
         } else {
             // The request is held back at the agent, and the caller leaves.
             caller.send(agent, RST, 0);
@@ -198,7 +198,7 @@
     let mut unacknowledged = Caller::open(&mut agent, 10);
     unacknowledged.exchange(&mut agent, ANSWER_BYTES);
     let lost = unacknowledged.answer(ANSWER_BYTES);
-    agent.backend(lost);
+    agent.deliver_from_backend(lost);
 
     let mut unfinished = Caller::open(&mut agent, 11);
     unfinished.exchange(&mut agent, 1_200);
@@ -216,7 +216,7 @@
         sequence: ended.expects,
         ..PacketSpec::default()
     };
-    agent.backend(from_backend(&ended.key, end));
+    agent.deliver_from_backend(from_backend(&ended.key, end));
 
     let (_, reset) = stall_backend(&mut agent);
     assert!(!reset.is_empty());
@@ -241,7 +241,7 @@
         expects: 501,
     };
     let answer = caller.answer(ANSWER_BYTES);
-    agent.backend(answer);
+    agent.deliver_from_backend(answer);
     assert!(resets(&agent.check_for_stall()).is_empty());
     assert!(pass_time(&mut agent, 500, 2_000).is_empty());
 }
@@ -256,7 +256,7 @@
         REQUEST_BYTES
     )));
     let answer = callers[0].answer(ANSWER_BYTES);
-    let actions = agent.backend(answer);
+    let actions = agent.deliver_from_backend(answer);
     assert!(matches!(actions[..], [Action::ToCaller(..)]));
 }
 
@@ -270,7 +270,7 @@
         agent.check_for_stall();
         let actions = agent.deliver(&opener(&flow(port), 0));
         if reaches_backend(&actions) {
-            agent.backend(acceptance(&flow(port), 500));
+            agent.deliver_from_backend(acceptance(&flow(port), 500));
             agent.deliver(&request(&flow(port), 501));
             taken.push(port);
         }
@@ -287,7 +287,7 @@
     for (hops, is_taken) in [(0, true), (1, false), (2, true)] {
         message.hops = hops;
         let port = 4_000 + u16::from(hops);
-        let actions = agent.hear(host(2), message, &opener(&flow(port), 0));
+        let actions = agent.deliver_message(host(2), message, &opener(&flow(port), 0));
         assert_eq!(
             reaches_backend(&actions),
             is_taken,
@@ -309,7 +309,7 @@
     }
     for caller in &mut hung {
         let answer = caller.answer(ANSWER_BYTES);
-        agent.backend(answer);
+        agent.deliver_from_backend(answer);
     }
     let end_ms = agent.now_ms;
     let mut ports = 5_000..;
@@ -317,7 +317,7 @@
         agent.now_ms = end_ms + passed_ms;
         for port in ports.by_ref().take(20) {
             agent.deliver(&opener(&flow(port), 0));
-            agent.backend(acceptance(&flow(port), 500));
+            agent.deliver_from_backend(acceptance(&flow(port), 500));
             agent.deliver(&request(&flow(port), 501));
         }
         agent.flow_agent.busy_requests()
@@ -332,24 +332,24 @@
 #[test]
 fn load_and_failures_of_a_stall_do_not_keep_openers_away_after_it() {
     let (mut agent, _) = agent_after_requests(true);
-    agent.look_at_load();
+    agent.sample_load();
     let (mut hung, _) = stall_backend(&mut agent);
     assert!(
         pass_time(&mut agent, 2_000, 2_000).is_empty(),
         "all were reset"
     );
-    agent.look_at_load();
+    agent.sample_load();
     for caller in &mut hung {
         let answer = caller.answer(ANSWER_BYTES);
-        agent.backend(answer);
+        agent.deliver_from_backend(answer);
     }
     agent.now_ms += RECOVERY_RAMP_MS;
-    agent.look_at_load();
+    agent.sample_load();
     let mut message = Message::new(MessageKind::Deliver);
     message.host = BALANCER;
     message.load_permille = 300;
     for port in 6_000..6_003 {
-        let actions = agent.hear(BALANCER, message, &opener(&flow(port), 0));
+        let actions = agent.deliver_message(BALANCER, message, &opener(&flow(port), 0));
         assert!(reaches_backend(&actions), "{port}");
     }
 }
@@ -367,7 +367,7 @@
             data_bytes: REQUEST_BYTES,
         };
         caller.request(&mut agent);
-        agent.backend(bounced(from_caller(&caller.key, spec)));
+        agent.deliver_from_backend(returned_packet(from_caller(&caller.key, spec)));
         agent.now_ms += STALL_CHECK_INTERVAL_MS / 2;
         reset.extend(resets(&agent.check_for_stall()));
     }
@@ -378,9 +378,9 @@
 fn a_new_lifetime_is_not_stalled() {
     let (mut agent, _) = agent_after_requests(true);
     stall_backend(&mut agent);
-    agent.refuse();
+    agent.refuse_connection();
     agent.now_ms += 200;
-    agent.refuse();
+    agent.refuse_connection();
     assert!(!agent.flow_agent.is_backend_up());
     agent.flow_agent.handle_backend_listening(agent.now_ms);
     assert!(resets(&agent.check_for_stall()).is_empty());
--- a/tests/opaque/unpublished_servers.rs
+++ b/tests/opaque/unpublished_servers.rs
@@ -7,8 +7,9 @@
 use endivedyke::opaque::{Backend, BackendState, Deadline, Directory, ROUTES_HEADER, RouteTable};
 
 use crate::builder::{
-    AgentUnderTest, CALLED, SERVICE, ZONE, flow, flow_agent, host, identity, opener, overwrite,
-    publish, reaches_backend, resets, started_text, state_text, takers, vanish,
+    AgentUnderTest, CALLED, SERVICE, ZONE, entry_text, flow, flow_agent, host, hosts_taking_flows,
+    identity, opener, overwrite_entry, publish, reaches_backend, remove_entry, resets,
+    started_entry_text,
 };
 
 /// The service that takes over the address of a server that has left.
@@ -39,7 +40,7 @@
         objective_ms,
         timeout_ms,
     }]);
-    let other = state_text(2, BackendState::Ready);
+    let other = entry_text(2, BackendState::Ready);
     publish(&mut agent.directory, 2, &other, 2, agent.now_ms);
     if seen == Seen::RefusedThenAccepted {
         restart_server(&mut agent);
@@ -51,9 +52,9 @@
 /// Ends the process of the server, so that connections are refused, and starts another one.
 fn restart_server(agent: &mut AgentUnderTest) {
     agent.flow_agent.handle_backend_disconnected(agent.now_ms);
-    agent.refuse();
+    agent.refuse_connection();
     agent.now_ms += 200;
-    agent.refuse();
+    agent.refuse_connection();
     agent.now_ms += 200;
     agent.flow_agent.handle_backend_listening(agent.now_ms);
 }
@@ -66,7 +67,7 @@
 /// Publishes the server on host 1 in a state.
 fn publish_own(agent: &mut AgentUnderTest, state: BackendState) {
     agent.revision += 1;
-    let text = state_text(1, state);
+    let text = entry_text(1, state);
     publish(&mut agent.directory, 1, &text, agent.revision, agent.now_ms);
     agent.handle_published_change();
 }
@@ -94,7 +95,7 @@
     let mut directory = agent(Seen::Accepted).directory;
     directory.record_unlisted(host(1), 1_000);
     assert!(directory.may_hold_flows(host(1)), "lookups include it");
-    assert_eq!(takers(&directory), [host(2)]);
+    assert_eq!(hosts_taking_flows(&directory), [host(2)]);
 }
 
 #[test]
@@ -111,7 +112,7 @@
     // The agent's settings still name the service of the server that has left.
     let mut agent = agent(Seen::RefusedThenAccepted);
     assert!(!takes_opener(&mut agent, 1));
-    let text = state_text(1, BackendState::Ready).replace(SERVICE, OTHER_SERVICE);
+    let text = entry_text(1, BackendState::Ready).replace(SERVICE, OTHER_SERVICE);
     publish(&mut agent.directory, 1, &text, 9, agent.now_ms);
     assert!(!takes_opener(&mut agent, 2));
 }
@@ -121,7 +122,7 @@
     for seen in [Seen::Accepted, Seen::RefusedThenAccepted] {
         let mut agent = agent(seen);
         publish_own(&mut agent, BackendState::Draining);
-        vanish(&mut agent.directory, 1, 9, agent.now_ms);
+        remove_entry(&mut agent.directory, 1, 9, agent.now_ms);
         agent.handle_published_change();
         assert!(!takes_opener(&mut agent, 1), "{seen:?}");
         restart_server(&mut agent);
@@ -144,7 +145,7 @@
 fn a_lapsed_entry_counts_until_it_can_no_longer_come_back() {
     let mut agent = agent(Seen::Accepted);
     publish_own(&mut agent, BackendState::Ready);
-    vanish(&mut agent.directory, 1, 9, agent.now_ms);
+    remove_entry(&mut agent.directory, 1, 9, agent.now_ms);
     agent.handle_published_change();
     assert!(takes_opener(&mut agent, 1));
     agent.now_ms += 2_500;
@@ -156,8 +157,8 @@
 fn after_a_restore_the_agent_follows_the_entries_of_the_older_copy() {
     let restored = Revision::new(1, 5).expect("small");
     for (text, taken) in [
-        (Some(started_text(1, 100)), true),
-        (Some(state_text(1, BackendState::Draining)), false),
+        (Some(started_entry_text(1, 100)), true),
+        (Some(entry_text(1, BackendState::Draining)), false),
         // The copy is older than the entry.
         (None, false),
     ] {
@@ -178,11 +179,11 @@
     for seen in [Seen::Accepted, Seen::RefusedThenAccepted] {
         let mut agent = agent(seen);
         // No process knows whose entry it is, as none has read it while it was valid.
-        overwrite(&mut agent.directory, 1, 9, agent.now_ms);
+        overwrite_entry(&mut agent.directory, 1, 9, agent.now_ms);
         assert!(!takes_opener(&mut agent, 1), "{seen:?}");
         publish_own(&mut agent, BackendState::Ready);
         assert!(takes_opener(&mut agent, 2), "{seen:?}");
-        overwrite(&mut agent.directory, 1, 11, agent.now_ms);
+        overwrite_entry(&mut agent.directory, 1, 11, agent.now_ms);
         assert!(!takes_opener(&mut agent, 3), "{seen:?}");
     }
 }
@@ -208,12 +209,12 @@
     publish_own(&mut agent, BackendState::Ready);
     assert!(takes_opener(&mut agent, 2));
     agent.open(&flow(2), 500);
-    agent.answer_from_backend(&flow(2));
+    agent.acknowledge_from_backend(&flow(2));
     // The entry outlives the process for a while, and the next lifetime takes flows under it.
     agent.flow_agent.handle_backend_disconnected(agent.now_ms);
-    agent.refuse();
+    agent.refuse_connection();
     agent.now_ms += 200;
-    assert_eq!(resets(&agent.refuse()), [flow(2)]);
+    assert_eq!(resets(&agent.refuse_connection()), [flow(2)]);
     assert!(!takes_opener(&mut agent, 3), "nothing listens");
     agent.flow_agent.handle_backend_listening(agent.now_ms);
     assert!(takes_opener(&mut agent, 4));
--- a/tests/opaque/waiting.rs
+++ b/tests/opaque/waiting.rs
@@ -7,8 +7,9 @@
 };
 
 use crate::builder::{
-    ACK, AgentUnderTest, BALANCER, CALLED, FIN, PacketSpec, RST, ZONE, flow, from_backend,
-    from_caller, hosts_told, opener, publish, reaches_backend, resets, started_text, state_text,
+    ACK, AgentUnderTest, BALANCER, CALLED, FIN, PacketSpec, RST, ZONE, entry_text, flow,
+    from_backend, from_caller, opener, publish, reaches_backend, receivers, resets,
+    started_entry_text,
 };
 
 const OBJECTIVE_MS: u64 = 300;
@@ -45,7 +46,7 @@
         acknowledgement: 141,
         data_bytes: 60,
     };
-    agent.backend(from_backend(&flow(port), spec))
+    agent.deliver_from_backend(from_backend(&flow(port), spec))
 }
 
 fn next_request(port: u16) -> Vec<u8> {
@@ -76,7 +77,7 @@
 /// Sends requests on open flows until one is held back, and returns the port of its flow.
 fn first_held_back(agent: &mut AgentUnderTest) -> u16 {
     for port in 200..300 {
-        agent.answer_from_backend(&flow(port));
+        agent.acknowledge_from_backend(&flow(port));
         if !reaches_backend(&agent.deliver(&next_request(port))) {
             return port;
         }
@@ -87,7 +88,7 @@
 fn offer(agent: &mut AgentUnderTest, key: &FlowKey) -> Vec<Action> {
     let mut message = Message::new(MessageKind::Offer);
     message.host = BALANCER;
-    agent.hear(BALANCER, message, &opener(key, 0))
+    agent.deliver_message(BALANCER, message, &opener(key, 0))
 }
 
 /// Returns the packets that actions hand to the backend server.
@@ -120,10 +121,10 @@
     let mut agent = full_agent();
     let actions = agent.deliver(&opener(&flow(100), 0));
     assert!(!reaches_backend(&actions));
-    assert_eq!(hosts_told(&actions, MessageKind::Holds), [BALANCER]);
+    assert_eq!(receivers(&actions, MessageKind::Holds), [BALANCER]);
     let copy = agent.deliver(&opener(&flow(100), 1));
     assert!(!reaches_backend(&copy), "a copy is the same opener");
-    assert_eq!(hosts_told(&copy, MessageKind::Holds), [BALANCER]);
+    assert_eq!(receivers(&copy, MessageKind::Holds), [BALANCER]);
     let mut taken = 0;
     for port in 1..=FULL {
         agent.now_ms += 5;
@@ -138,8 +139,8 @@
     agent.deliver(&opener(&flow(100), 0));
     let actions = agent.tick_at(agent.now_ms + 2 * OBJECTIVE_MS);
     assert_eq!(resets(&actions), [flow(100)]);
-    assert_eq!(hosts_told(&actions, MessageKind::Absent), [BALANCER]);
-    assert_eq!(hosts_told(&actions, MessageKind::AttemptFailed), [BALANCER]);
+    assert_eq!(receivers(&actions, MessageKind::Absent), [BALANCER]);
+    assert_eq!(receivers(&actions, MessageKind::AttemptFailed), [BALANCER]);
     let later = agent.tick_at(agent.now_ms + TIMEOUT_MS);
     assert!(!reaches_backend(&later), "no server has it");
 }
@@ -149,7 +150,7 @@
     let mut agent = full_agent();
     agent.deliver(&opener(&flow(100), 0));
     let actions = agent.tick_at(agent.now_ms + OBJECTIVE_MS);
-    assert_eq!(hosts_told(&actions, MessageKind::HandOn).len(), 1);
+    assert_eq!(receivers(&actions, MessageKind::HandOn).len(), 1);
 }
 
 #[test]
@@ -158,16 +159,16 @@
     let failures: [(&str, Failure); 4] = [
         ("the agent stops", |agent| agent.leave()),
         ("nothing listens any more", |agent| {
-            agent.refuse();
+            agent.refuse_connection();
             agent.now_ms += 200;
-            agent.refuse()
+            agent.refuse_connection()
         }),
         ("the zone is evacuated", |agent| {
             agent.directory.set_zone_evacuated(ZONE, true, 100);
             agent.tick_at(agent.now_ms + 20)
         }),
         ("the backend server drains", |agent| {
-            let text = state_text(1, BackendState::Draining);
+            let text = entry_text(1, BackendState::Draining);
             publish(&mut agent.directory, 1, &text, 100, agent.now_ms);
             agent.tick_at(agent.now_ms + 20)
         }),
@@ -176,7 +177,7 @@
         let mut agent = full_agent();
         agent.deliver(&opener(&flow(100), 0));
         let actions = fail(&mut agent);
-        let handed_on = hosts_told(&actions, MessageKind::HandOn).len();
+        let handed_on = receivers(&actions, MessageKind::HandOn).len();
         let dropped = !resets(&actions).contains(&flow(100));
         assert!(
             handed_on >= 1 || (name == "the zone is evacuated" && dropped),
@@ -220,7 +221,7 @@
     publish(
         &mut agent.directory,
         1,
-        &started_text(1, 100),
+        &started_entry_text(1, 100),
         100,
         agent.now_ms,
     );
@@ -230,7 +231,7 @@
     publish(
         &mut agent.directory,
         1,
-        &started_text(1, 200),
+        &started_entry_text(1, 200),
         200,
         agent.now_ms,
     );
@@ -317,15 +318,15 @@
     answer(&mut agent, 1);
     assert!(reaches_backend(&agent.deliver(&next_request(1))));
     let actions = agent.deliver(&opener(&flow(100), 0));
-    assert!(hosts_told(&actions, MessageKind::Holds).is_empty());
-    assert_eq!(hosts_told(&actions, MessageKind::HandOn).len(), 1);
+    assert!(receivers(&actions, MessageKind::Holds).is_empty());
+    assert_eq!(receivers(&actions, MessageKind::HandOn).len(), 1);
 }
 
 #[test]
 fn a_packet_that_arrives_out_of_order_is_queued_in_sequence() {
     let mut agent = full_agent();
     for port in 200..300 {
-        agent.answer_from_backend(&flow(port));
+        agent.acknowledge_from_backend(&flow(port));
     }
     let part = |port: u16, sequence: u32| {
         let spec = PacketSpec {
@@ -366,8 +367,8 @@
     let mut message = Message::new(MessageKind::Offer);
     message.host = BALANCER;
     message.digest.highest = (agent.revision + 1).into();
-    let actions = agent.hear(BALANCER, message, &opener(&flow(1), 0));
-    assert_eq!(hosts_told(&actions, MessageKind::Declined), [BALANCER]);
+    let actions = agent.deliver_message(BALANCER, message, &opener(&flow(1), 0));
+    assert_eq!(receivers(&actions, MessageKind::Declined), [BALANCER]);
     assert!(actions.iter().any(|action| match action {
         Action::ToPeer(_, _, payload) => decode_wait_ms(payload).is_some(),
         _ => false,
