--- a/src/opaque/flow_agent/held_back_requests.rs
+++ b/src/opaque/flow_agent/held_back_requests.rs
@@ -137,7 +137,11 @@
         self.flows.update(key, context.now_ms, |flow| {
             flow.has_caller_left |= caller_left;
             if flow.state == FlowState::Open && flow.running.is_none() {
- flow.running = Some(RunningRequest::new(id.as_deref(), busy_timeout_ms, context.now_ms));
+                flow.running = Some(RunningRequest::new(
+                    id.as_deref(),
+                    busy_timeout_ms,
+                    context.now_ms,
+                ));
             }
         });
         for segment in &segments {
