--- a/lab/tests/opaque_deadlines.rs
+++ b/lab/tests/opaque_deadlines.rs
@@ -1,14 +1,15 @@
-//! Callers who have time for one attempt, with real processes.
+//! Opaque flows whose callers have time for only one attempt, with real processes.
 
 mod common;
 
 use std::time::Instant;
 
-use common::opaque::{CHANGE_TIMEOUT, assert_promises, busiest, summary};
+use common::opaque::{CHANGE_TIMEOUT, assert_promises, busiest_backend, counts_text};
 use common::{run, sleep_ms};
 use endivedyke_lab::opaque::{OpaqueSite, OpaqueSiteBuilder, run_soak};
 
-/// The latency objective and the timeout of callers that have time for one attempt only, in milliseconds.
+/// The latency objective and the timeout of callers that have time for only one attempt, in
+/// milliseconds.
 const DEADLINE_MS: (u64, u64) = (300, 1_500);
 
 async fn site_with_deadline() -> OpaqueSite {
@@ -19,7 +20,7 @@
 }
 
 #[test]
-fn every_process_knows_the_deadlines_that_the_store_tells() {
+fn the_deadlines_of_the_configuration_are_in_force_in_every_process() {
     let folder = tempfile::tempdir().expect("a folder");
     run(async {
         let (objective_ms, timeout_ms) = DEADLINE_MS;
@@ -27,7 +28,8 @@
         let builder = builder.deadline(objective_ms, timeout_ms);
         let site = builder.log_to_folder(folder.path()).start().await;
         let mut site = site.expect("the site starts");
-        // What is there at the start comes into force unnamed, together with all other values.
+        // At the start, values come into force together without a line for each. This change writes the
+        // configuration again.
         site.add_idle_route();
         let balancers = [0, 1].map(|index| site.balancer_host(index));
         let agents = [0, 1].map(|index| site.agent_host(index));
@@ -45,11 +47,11 @@
 }
 
 #[test]
-fn a_rush_of_callers_is_served_and_ends() {
+fn all_requests_of_a_rush_of_callers_are_answered() {
     run(async {
         let mut site = site_with_deadline().await;
         site.start_callers(&[site.call_plan(0, 4, 4)])
-            .expect("callers");
+            .expect("callers start");
         sleep_ms(1_500).await;
         let before = site.tally().requests;
         site.start_rush(4);
@@ -64,54 +66,54 @@
         assert!(calm < rush / 2, "{calm} requests after a rush of {rush}");
         let tally = site.finish_callers().await;
         assert_promises(&site, &tally);
-        let seen = (tally.answered, tally.wrongly_reset);
-        assert_eq!(seen, (tally.requests, 0), "{}", summary(&tally));
+        let counts = (tally.answered, tally.wrongly_reset);
+        assert_eq!(counts, (tally.requests, 0), "{}", counts_text(&tally));
     });
 }
 
 #[test]
-fn a_slow_backend_server_answers_late_and_loses_nothing() {
+fn a_slow_backend_server_answers_all_requests_late() {
     run(async {
         let mut site = site_with_deadline().await;
         site.start_callers(&[site.call_plan(0, 12, 0)])
-            .expect("callers");
+            .expect("callers start");
         sleep_ms(800).await;
-        site.slow_backend(busiest(&site, 3), 40);
+        site.slow_backend(busiest_backend(&site, 3), 40);
         sleep_ms(1_500).await;
         let tally = site.finish_callers().await;
         assert_promises(&site, &tally);
-        assert!(tally.slowest_ms >= 200, "{}", summary(&tally));
-        let seen = (tally.answered, tally.wrongly_reset);
-        assert_eq!(seen, (tally.requests, 0), "{}", summary(&tally));
+        assert!(tally.slowest_ms >= 200, "{}", counts_text(&tally));
+        let counts = (tally.answered, tally.wrongly_reset);
+        assert_eq!(counts, (tally.requests, 0), "{}", counts_text(&tally));
     });
 }
 
 #[test]
-fn what_a_hanging_backend_server_holds_fails_in_time_and_nothing_runs_twice() {
+fn requests_at_a_hanging_backend_server_fail_in_time_and_no_claim_runs_twice() {
     run(async {
         let mut site = site_with_deadline().await;
         site.start_callers(&[site.call_plan(0, 12, 4)])
-            .expect("callers");
+            .expect("callers start");
         sleep_ms(800).await;
-        let busiest = busiest(&site, 3);
+        let busiest = busiest_backend(&site, 3);
         site.hang_backend(busiest);
         sleep_ms(3_000).await;
         site.resume_normal_work(busiest);
         sleep_ms(2_500).await;
         let before = site.tally();
-        assert!(before.failed > 0, "{}", summary(&before));
+        assert!(before.failed > 0, "{}", counts_text(&before));
         sleep_ms(1_500).await;
         let tally = site.finish_callers().await;
         assert_promises(&site, &tally);
-        assert_eq!(tally.wrongly_reset, 0, "{}", summary(&tally));
-        assert_eq!(tally.failed, before.failed, "{}", summary(&tally));
+        assert_eq!(tally.wrongly_reset, 0, "{}", counts_text(&tally));
+        assert_eq!(tally.failed, before.failed, "{}", counts_text(&tally));
         let ended = tally.answered + tally.failed;
-        assert_eq!(ended, tally.requests, "{}", summary(&tally));
+        assert_eq!(ended, tally.requests, "{}", counts_text(&tally));
     });
 }
 
 #[test]
-fn a_soak_whose_callers_have_one_attempt_breaks_no_promise() {
+fn a_soak_with_time_for_one_attempt_breaks_no_promise() {
     let result = run(run_soak(5_000, 4, None));
     assert!(result.is_ok(), "{result:?}");
 }
