--- a/lab/src/opaque/soak.rs
+++ b/lab/src/opaque/soak.rs
@@ -224,7 +224,7 @@
             Fault::ForgetHistory => self.site.store().forget_history(),
             Fault::HangUp => {
                 if let Some(process) = self.site.agent(index) {
-                    ignore_signal_error(process.hang_up());
+                    ignore_signal_error(process.reload());
                 }
             }
             Fault::RestoreStore => {
--- a/lab/tests/opaque_site.rs
+++ b/lab/tests/opaque_site.rs
@@ -415,11 +415,11 @@
         for _ in 0..5 {
             site.balancer(0)
                 .expect("a running process")
-                .hang_up()
+                .reload()
                 .expect("a running process");
             site.agent(0)
                 .expect("a running process")
-                .hang_up()
+                .reload()
                 .expect("a running process");
             sleep_ms(100).await;
         }
--- a/src/opaque/values/settle_state.rs
+++ b/src/opaque/values/settle_state.rs
@@ -58,19 +58,24 @@
     /// Becomes unsettled for as long as a peer is, if this process may have missed the same lapses.
     ///
     /// A process that saw the entries lapse remembers their hosts, and does not have to wait.
-    pub(crate) fn unsettle_with_peer(&mut self, unsettled_ms: u64, clock_ms: u64, now_ms: u64) {
-        if self.may_have_missed(unsettled_ms, now_ms) {
-            self.unsettle(unsettled_ms, clock_ms, now_ms);
+    pub(crate) fn unsettle_with_peer(
+        &mut self,
+        settle_remaining_ms: u64,
+        clock_ms: u64,
+        now_ms: u64,
+    ) {
+        if self.may_have_missed(settle_remaining_ms, now_ms) {
+            self.unsettle(settle_remaining_ms, clock_ms, now_ms);
         }
     }
 
     /// Returns whether this process had no values yet when an entry lapsed that may come back for
-    /// another `unsettled_ms`.
-    fn may_have_missed(&self, unsettled_ms: u64, now_ms: u64) -> bool {
+    /// another `settle_remaining_ms`.
+    fn may_have_missed(&self, settle_remaining_ms: u64, now_ms: u64) -> bool {
         let Some(since_ms) = self.in_force_since_ms else {
             return true;
         };
-        let lapsed_ms_ago = LAPSE_GRACE_MS.saturating_sub(unsettled_ms);
+        let lapsed_ms_ago = LAPSE_GRACE_MS.saturating_sub(settle_remaining_ms);
         now_ms.saturating_sub(lapsed_ms_ago) < since_ms
     }
 
@@ -85,8 +90,8 @@
         }
     }
 
-    /// Returns the remaining time for which this process is unsettled, in milliseconds.
-    pub(crate) fn unsettled_ms(&self, clock_ms: u64) -> u64 {
+    /// Returns the time until this process is settled, in milliseconds.
+    pub(crate) fn settle_remaining_ms(&self, clock_ms: u64) -> u64 {
         self.unsettled_until_ms
             .saturating_sub(clock_ms)
             .min(LAPSE_GRACE_MS)
--- a/tests/opaque/restarts.rs
+++ b/tests/opaque/restarts.rs
@@ -41,7 +41,7 @@
     assert!(find_reaches_backend(&mut agent, &request(&key, 7)));
     answer(&mut agent, &key, REQUEST_END);
     assert!(find_reaches_backend(&mut agent, &request(&key, 7)));
-    assert_eq!(agent.flow_agent.busy(), 0);
+    assert_eq!(agent.flow_agent.busy_requests(), 0);
 }
 
 #[test]
@@ -50,7 +50,7 @@
     let key = flow(1);
     answer(&mut agent, &key, REQUEST_END);
     agent.deliver(&request(&key, 7));
-    assert_eq!(agent.flow_agent.busy(), 0);
+    assert_eq!(agent.flow_agent.busy_requests(), 0);
 }
 
 #[test]
@@ -65,7 +65,7 @@
         data_bytes: 40,
     };
     assert!(reaches_backend(&agent.deliver(&from_caller(&key, spec))));
-    assert_eq!(agent.flow_agent.busy(), 1);
+    assert_eq!(agent.flow_agent.busy_requests(), 1);
     let spec = PacketSpec {
         flags: ACK,
         sequence: 67,
@@ -73,5 +73,5 @@
         data_bytes: 60,
     };
     agent.backend(from_backend(&key, spec));
-    assert_eq!(agent.flow_agent.busy(), 0);
+    assert_eq!(agent.flow_agent.busy_requests(), 0);
 }
