--- a/src/error.rs
+++ b/src/error.rs
@@ -4,7 +4,8 @@
 
 use crate::code::Code;
 
-/// An error: a numbered code, which has a meaning and a remedy, and a message about this occurrence.
+/// An error: a numbered code, which has a meaning and a remedy, and a message about this
+/// occurrence.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Error {
     /// The code, which docs/CODES.md explains.
--- a/src/explain/cause.rs
+++ b/src/explain/cause.rs
@@ -4,7 +4,8 @@
 use crate::explain::log_line::LogLine;
 use crate::explain::trace::Trace;
 
-/// The meaning of an event whose `field` has a value that starts with `value`; an empty `field` always matches.
+/// The meaning of an event whose `field` has a value that starts with `value`; an empty `field`
+/// always matches.
 struct EventMeaning {
     event: &'static str,
     field: &'static str,
@@ -26,7 +27,8 @@
     }
 }
 
-/// What may have happened to a request or flow, the most specific first; only the first match is reported.
+/// What may have happened to a request or flow, the most specific first; only the first match
+/// is reported.
 const CAUSES: [EventMeaning; 24] = [
     meaning(
         "request_lost",
@@ -291,6 +293,7 @@
     descriptions
 }
 
+/// Returns the first meaning that matches a line of the trace, with the first such line.
 fn first_match<'a, 'b>(
     meanings: &'b [EventMeaning],
     trace: &'b Trace<'a>,
@@ -302,6 +305,7 @@
     })
 }
 
+/// Returns whether a line has the event and the value of a meaning.
 fn matches(meaning: &EventMeaning, line: &LogLine<'_>) -> bool {
     if line.event != meaning.event {
         return false;
--- a/src/explain/log_line.rs
+++ b/src/explain/log_line.rs
@@ -28,8 +28,8 @@
 
 /// Parses the lines of one text and skips lines of other programs.
 ///
-/// Tools that collect the lines of several processes put a name before each line. Without such a name, the
-/// process is the host that its start line names, or `name` before any start line.
+/// Tools that collect the lines of several processes put a name before each line. Without such a
+/// name, the process is the host that its start line names, or `name` before any start line.
 pub fn parse_log<'a>(name: &'a str, text: &'a str) -> Vec<LogLine<'a>> {
     let mut process = name;
     let mut lines = Vec::new();
--- a/src/explain/mod.rs
+++ b/src/explain/mod.rs
@@ -10,10 +10,11 @@
 pub use crate::explain::log_line::{LogLine, parse_log};
 use crate::explain::trace::Trace;
 
-/// Explains what happened to a request id or to a flow (`CALLER:PORT>ADDRESS:PORT`): first the causes, then the
-/// log lines that concern it.
+/// Explains what happened to a request id or to a flow (`CALLER:PORT>ADDRESS:PORT`): first the
+/// causes, then the log lines that concern it.
 ///
-/// `logs` holds the name and text of each log file; the name stands in for the process where lines don't name one.
+/// `logs` holds the name and text of each log file; the name stands in for the process where lines
+/// don't name one.
 ///
 /// # Errors
 ///
--- a/src/explain/trace.rs
+++ b/src/explain/trace.rs
@@ -2,10 +2,11 @@
 
 use crate::explain::log_line::LogLine;
 
-/// Context lines up to this long before the first line of a flow are included: a lapsed backend server is
-/// waited for as long as this, so a change of state may affect a flow that much later.
+/// Context lines up to this long before the first line of a flow are included: a lapsed backend
+/// server is waited for as long as this, so a change of state may affect a flow that much later.
 const CONTEXT_BEFORE_MS: u64 = 2_500;
-/// Context lines up to this long after the last line are included: they may explain a missing answer.
+/// Context lines up to this long after the last line are included: they may explain a missing
+/// answer.
 const CONTEXT_AFTER_MS: u64 = 500;
 
 /// Events that change the state of a process, in alphabetical order for the binary search; see
@@ -39,7 +40,8 @@
     "waiting_for_configuration",
 ];
 
-/// The lines of a request or flow and the context lines of the processes involved, in order of time.
+/// The lines of a request or flow and the context lines of the processes involved, in order of
+/// time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Trace<'a> {
     /// The flows that carried the request, or the flow that was asked for.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,10 @@
 //! endivedyke: a layer-4 load balancer for moving traffic onto a new system while an older one
 //! still serves the same site.
 //!
-//! The programs `endivedyke-balancer`, `endivedyke-agent` and `endivedyke` each call one `run` function of this
-//! library. Decisions are plain structs without input or output, which get the time and a random source as
-//! arguments. Controllers hold the state around them, and filters process the requests. See docs/DESIGN.md.
+//! The programs `endivedyke-balancer`, `endivedyke-agent` and `endivedyke` each call one `run`
+//! function of this library. Decisions are plain structs without input or output, which get the
+//! time and a random source as arguments. Controllers hold the state around them, and filters
+//! process the requests. See docs/DESIGN.md.
 
 mod code;
 mod config;
--- a/src/process/http_client.rs
+++ b/src/process/http_client.rs
@@ -14,8 +14,8 @@
 use crate::code::Code;
 use crate::error::{Error, Result};
 
-/// The longest response body: a page of the users' platform holds about a megabyte, its last value may add
-/// another megabyte, and base64 adds a third to both.
+/// The longest response body: a page of the users' platform holds about a megabyte, its last value
+/// may add another megabyte, and base64 adds a third to both.
 const MAX_BODY_BYTES: usize = 4 << 20;
 
 /// Opens an HTTP/1.1 connection and returns its request sender.
@@ -43,7 +43,8 @@
 ///
 /// # Errors
 ///
-/// Returns code 5001 if the exchange fails or exceeds `timeout_ms`, and code 5006 if the response is too large.
+/// Returns code 5001 if the exchange fails or exceeds `timeout_ms`, and code 5006 if the response
+/// is too large.
 pub async fn send_request(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
--- a/src/process/log_budget.rs
+++ b/src/process/log_budget.rs
@@ -2,8 +2,8 @@
 
 /// The burst that is allowed: the lines about all flows of a large backend server that restarts.
 const BURST_LINES: u64 = 400;
-/// The steady rate: a few kilobytes a second at about 150 bytes a line, which costs less than a thousandth of
-/// a core.
+/// The steady rate: a few kilobytes a second at about 150 bytes a line, which costs less than a
+/// thousandth of a core.
 const LINES_PER_S: u64 = 40;
 /// The part of the bucket that is reserved for warnings and errors.
 const RESERVED_LINES: u64 = 100;
@@ -56,7 +56,8 @@
         self.dropped += 1;
     }
 
-    /// Returns the number of lines dropped since the last report, or 0 if that was less than a second ago.
+    /// Returns the number of lines dropped since the last report, or 0 if that was less than a
+    /// second ago.
     pub fn take_dropped(&mut self, now_ms: u64) -> u64 {
         if now_ms < self.reported_ms + MS_PER_S {
             return 0;
--- a/src/process/logging.rs
+++ b/src/process/logging.rs
@@ -25,7 +25,7 @@
                 "time_ms={} level={} part={} {message}",
                 unix_time_ms(),
                 record.level(),
-                part(record.target())
+                last_segment(record.target())
             ));
         });
     let dispatch = match file {
@@ -40,6 +40,6 @@
 }
 
 /// Returns the last segment of a module path.
-fn part(target: &str) -> &str {
+fn last_segment(target: &str) -> &str {
     target.rsplit("::").next().unwrap_or(target)
 }
--- a/src/process/mod.rs
+++ b/src/process/mod.rs
@@ -1,7 +1,8 @@
 //! What every process needs: timers, sockets, HTTP, logging, metrics.
 //!
-//! A slow reader of log lines or metrics never blocks the process, and a pause of the host is detected. This
-//! folder uses no other folder and has no part in configuration or load balancing.
+//! A slow reader of log lines or metrics never blocks the process, and a pause of the host is
+//! detected. This folder uses no other folder, and holds no logic of configuration or load
+//! balancing.
 
 pub(crate) mod clock;
 pub(crate) mod code_counter;
--- a/src/process/opaque_metrics.rs
+++ b/src/process/opaque_metrics.rs
@@ -9,8 +9,8 @@
 
 use crate::process::code_counter::CodeCounter;
 
-/// Histogram buckets: the bounds double from a millisecond to about eight seconds, the longest timeout of the
-/// users' requests.
+/// Histogram buckets: the bounds double from a millisecond to about eight seconds, the longest
+/// timeout of the users' requests.
 const FIRST_BUCKET_BOUND_S: f64 = 0.001;
 const BUCKET_COUNT: u16 = 14;
 
--- a/src/process/timer_service.rs
+++ b/src/process/timer_service.rs
@@ -2,8 +2,8 @@
 
 /// A step of the clock above this means that the process was paused.
 pub const PAUSE_THRESHOLD_MS: u64 = 2_000;
-/// The longest wait between two reads of the clock. It is well below [`PAUSE_THRESHOLD_MS`], so that waiting
-/// is not taken for a pause.
+/// The longest wait between two reads of the clock. It is well below [`PAUSE_THRESHOLD_MS`], so
+/// that waiting is not taken for a pause.
 pub(crate) const MAX_WAIT_MS: u64 = 200;
 
 /// The identifier of a subscription.
@@ -44,7 +44,8 @@
         }
     }
 
-    /// Subscribes to an event every `period_ms`; the first is due after `delay_ms`, which spreads the load.
+    /// Subscribes to an event every `period_ms`; the first is due after `delay_ms`, which spreads
+    /// the load.
     pub fn subscribe(&mut self, period_ms: u64, delay_ms: u64) -> TimerId {
         self.subscriptions.push(Subscription {
             period_ms: period_ms.max(1),
--- a/src/process/timers.rs
+++ b/src/process/timers.rs
@@ -28,8 +28,8 @@
         }
     }
 
-    /// Calls `action` every `period_ms`. The first call comes after a random part of the period, so that hosts
-    /// that start together don't act at the same times.
+    /// Calls `action` every `period_ms`. The first call comes after a random part of the period, so
+    /// that hosts that start together don't act at the same times.
     pub(crate) fn every(&self, period_ms: u64, action: impl Fn() + 'static) {
         let delay_ms = rand::random_range(0..=period_ms);
         let id = self.service.borrow_mut().subscribe(period_ms, delay_ms);
--- a/src/programs/daemon.rs
+++ b/src/programs/daemon.rs
@@ -46,7 +46,7 @@
 pub fn run_balancer() -> ExitCode {
     run("endivedyke-balancer", None, |control| async move {
         let hooks = balancer::hooks(&control);
-        start(&control, hooks).await?;
+        start_quic(&control, hooks).await?;
         balancer::run(control, stop_signal()).await
     })
 }
@@ -55,7 +55,7 @@
 pub fn run_agent() -> ExitCode {
     run("endivedyke-agent", None, |control| async move {
         let agent = Agent::new(&control)?;
-        start(&control, peer_service::hooks(&agent)).await?;
+        start_quic(&control, peer_service::hooks(&agent)).await?;
         agent.run(stop_signal()).await
     })
 }
@@ -74,7 +74,7 @@
         |control| async move {
             let hooks = opaque::hooks(&control, "balancer");
             let adapter = adapt(&control.settings);
-            listen(&control, hooks).await?;
+            start_services(&control, hooks).await?;
             opaque::run_balancer(control, adapter, stop_signal()).await
         },
     )
@@ -94,12 +94,13 @@
         |control| async move {
             let hooks = opaque::hooks(&control, "agent");
             let adapter = adapt(&control.settings);
-            listen(&control, hooks).await?;
+            start_services(&control, hooks).await?;
             opaque::run_agent(control, adapter, stop_signal()).await
         },
     )
 }
 
+/// Parses the command line, loads the settings and runs `role` until the process is to stop.
 fn run<F>(
     program: &str,
     settings_variable: Option<&str>,
@@ -138,6 +139,7 @@
     ExitCode::from(exit_code)
 }
 
+/// Starts logging, the runtime and the reload of settings, and runs `role` to its end.
 fn run_role<F>(
     settings: Settings,
     path: &Path,
@@ -166,7 +168,7 @@
 }
 
 /// Serves control links and metrics on their ports, and starts the timers.
-async fn listen(control: &Rc<ControlPlane>, hooks: NodeHooks) -> Result<()> {
+async fn start_services(control: &Rc<ControlPlane>, hooks: NodeHooks) -> Result<()> {
     let settings = &control.settings;
     let link_listener = node_server::bind(settings.host, settings.control_port).await?;
     let metrics_listener = TcpListener::bind((settings.host, settings.metrics_port)).await?;
@@ -178,12 +180,12 @@
     Ok(())
 }
 
-/// Starts the tasks that all daemons for QUIC share, and returns once a configuration is in force.
-async fn start(control: &Rc<ControlPlane>, hooks: NodeHooks) -> Result<()> {
-    listen(control, hooks).await?;
+/// Starts the tasks that the QUIC daemons share, and returns once a configuration is in force.
+async fn start_quic(control: &Rc<ControlPlane>, hooks: NodeHooks) -> Result<()> {
+    start_services(control, hooks).await?;
     let reader_role = ReaderRole::new();
     platform_reader::start(control, &reader_role).await;
-    subscribe(control, &reader_role);
+    subscribe_to_events(control, &reader_role);
     compio::runtime::spawn(platform_reader::run(control.clone(), reader_role)).detach();
     log::info!(
         "event=serving revision={}",
@@ -193,7 +195,7 @@
 }
 
 /// Subscribes the exchange with peers to timers, pauses and changes of the host list.
-fn subscribe(control: &Rc<ControlPlane>, reader_role: &Rc<ReaderRole>) {
+fn subscribe_to_events(control: &Rc<ControlPlane>, reader_role: &Rc<ReaderRole>) {
     let compare_control = control.clone();
     let reader_role = reader_role.clone();
     control.timers.every(relay::COMPARE_PERIOD_MS, move || {
--- a/src/programs/operator.rs
+++ b/src/programs/operator.rs
@@ -1,4 +1,5 @@
-//! The operators' command line client: checks tables, shows the effect of edits and the state of processes.
+//! The operators' command line client: checks tables, shows the effect of edits and the state of
+//! processes.
 
 mod host_states;
 mod remote;
--- a/src/programs/operator/remote.rs
+++ b/src/programs/operator/remote.rs
@@ -69,7 +69,8 @@
     Ok(status::render(&states))
 }
 
-/// Reads the state of every host of the host list, and of the hosts that these name in their states.
+/// Reads the state of every host of the host list, and of the hosts that these name in their
+/// states.
 ///
 /// If the platform does not answer or keeps no list, the seeds take the place of the listed hosts.
 async fn read_all_states(settings: &Settings) -> Result<HostStates> {
--- a/src/programs/operator/service_loads.rs
+++ b/src/programs/operator/service_loads.rs
@@ -7,7 +7,7 @@
 use crate::programs::operator::host_states::HostStates;
 use crate::programs::state_view::{format_inline, table_row};
 
-/// The load of a backend server, from the state of its agent.
+/// The slots and open flows of a backend server, from the state of its agent.
 #[derive(Debug, Clone, PartialEq)]
 struct ServerLoad {
     service: String,
@@ -18,9 +18,10 @@
 
 /// Returns a table with a row for each service and its busiest and least busy backend server.
 ///
-/// Busy is relative to the share of a server, which follows from its slots. A server that gets far more than its
-/// share while the load is low shows up here before its callers notice.
-pub(crate) fn rows(states: &HostStates) -> Vec<Vec<String>> {
+/// The columns `of share` divide the flows of a server by its share of the flows, which is in
+/// proportion to its slots. A server that gets far more than its share while the load is low shows
+/// up here before its callers notice.
+pub(crate) fn service_rows(states: &HostStates) -> Vec<Vec<String>> {
     let mut rows = vec![table_row(&[
         "service", "servers", "flows", "busiest", "of share", "least", "of share",
     ])];
@@ -31,6 +32,7 @@
     rows
 }
 
+/// Returns the row of a service from the loads of its backend servers.
 fn service_row(servers: &[ServerLoad]) -> Vec<String> {
     let flows: f64 = servers.iter().map(|server| server.flows).sum();
     let slots: f64 = servers.iter().map(|server| server.slots).sum();
--- a/src/programs/operator/status.rs
+++ b/src/programs/operator/status.rs
@@ -10,7 +10,8 @@
 
 /// Returns a table of the processes and a table of the targets.
 ///
-/// For opaque flows, tables of the processes' counts, the services and the evacuated zones replace the targets.
+/// For opaque flows, tables of the processes' counts, the services and the evacuated zones replace
+/// the targets.
 pub(crate) fn render(states: &HostStates) -> String {
     let mut processes = vec![table_row(&[
         "host", "role", "zone", "revision", "platform", "rejected",
@@ -44,7 +45,7 @@
     }
     let mut tables = vec![processes];
     if opaque.len() > 1 {
-        tables.extend([opaque, service_loads::rows(states)]);
+        tables.extend([opaque, service_loads::service_rows(states)]);
         tables.extend(evacuation_rows(states));
     } else {
         tables.push(targets);
@@ -53,17 +54,17 @@
     tables.join("\n")
 }
 
-/// Returns a table with a row for each evacuated availability zone and the number of processes that know of it, or
-/// `None` if no zone is evacuated.
+/// Returns a table with a row for each evacuated availability zone and the number of processes that
+/// know of it, or `None` if no zone is evacuated.
 fn evacuation_rows(states: &HostStates) -> Option<Vec<Vec<String>>> {
     let answered: Vec<&Value> = states
         .iter()
         .filter_map(|(_, state)| state.as_ref())
         .collect();
-    let known = answered
+    let evacuated = answered
         .iter()
         .flat_map(|state| items(&state["evacuated_zones"]));
-    let mut zones: Vec<String> = known.map(format_inline).collect();
+    let mut zones: Vec<String> = evacuated.map(format_inline).collect();
     zones.sort_unstable();
     let mut rows = vec![table_row(&["evacuated zone", "known to", "of"])];
     for of_zone in zones.chunk_by(|one, other| one == other) {
@@ -94,13 +95,18 @@
             )
         })
         .collect();
-    let answers = state["platform_answers"].as_bool().unwrap_or(false);
+    let platform_answers = state["platform_answers"].as_bool().unwrap_or(false);
     vec![
         host.to_string(),
         format_inline(&state["role"]),
         format_inline(&state["zone"]),
         revision_text(state),
-        if answers { "answers" } else { "not read" }.to_owned(),
+        if platform_answers {
+            "answers"
+        } else {
+            "not read"
+        }
+        .to_owned(),
         if rejected.is_empty() {
             "-".to_owned()
         } else {
@@ -109,7 +115,8 @@
     ]
 }
 
-/// Returns the highest revision of a process, after its era and a dot if the platform was restored from a copy.
+/// Returns the highest revision of a process, after its era and a dot if the platform was restored
+/// from a copy.
 fn revision_text(state: &Value) -> String {
     let number = format_inline(&state["revision"]);
     match state["era"].as_u64() {
@@ -135,19 +142,20 @@
     row
 }
 
-/// Returns the row of a target: the share of its host in the table, and in the open flows as its load.
+/// Returns the row of a target: the share of its host in the table, and in the open flows as its
+/// load.
 fn target_row(host: Ipv4Addr, target: &Value, states: &HostStates) -> Vec<String> {
     let service = format_inline(&target["service"]);
     let flows = target["open_flows"].as_u64().unwrap_or(0);
-    let total = total_flows(states, &service);
-    let load = if total == 0 {
+    let service_flows = total_flows(states, &service);
+    let load = if service_flows == 0 {
         0.0
     } else {
-        flows as f64 / total as f64
+        flows as f64 / service_flows as f64
     };
-    let draining = target["draining"].as_bool().unwrap_or(false);
+    let is_draining = target["draining"].as_bool().unwrap_or(false);
     let share_permille = target["share_permille"].as_u64().unwrap_or(0);
-    let condition = match (draining, share_permille) {
+    let condition = match (is_draining, share_permille) {
         (true, _) => "drains",
         (false, 0) => "fails",
         (false, 1_000) => "serves",
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -24,7 +24,7 @@
 
 /// Returns a table with one target for each weight.
 pub fn table(weights: &[u32]) -> Table {
-    Table::parse(&table_text("panel-front", weights, 2_000)).expect("sound table")
+    Table::parse(&table_text("panel-front", weights, 2_000)).expect("valid table")
 }
 
 /// Returns the cluster key that the tests use.
@@ -36,7 +36,7 @@
 pub fn store(values: &[(&str, u64, &str)]) -> ConfigStore {
     let mut store = ConfigStore::new(&cluster_key());
     for (name, revision, text) in values {
-        store.accept(name, *revision, text).expect("sound value");
+        store.accept(name, *revision, text).expect("valid value");
     }
     store
 }
