--- a/src/programs/daemon.rs
+++ b/src/programs/daemon.rs
@@ -229,6 +229,7 @@
     });
 }
 
+/// Serves the metrics at `/metrics` and answers any other path with status 404.
 async fn serve_metrics(listener: TcpListener, control: Rc<ControlPlane>) {
     http_server::serve(listener, move |request| {
         let is_metrics = request.uri().path() == "/metrics";
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -12,7 +12,7 @@
 
 impl Logs {
     /// Adds the log file of a process with these lines, each a time and its text.
-    fn process(mut self, host: &str, lines: &[(u64, &str)]) -> Self {
+    fn with_process(mut self, host: &str, lines: &[(u64, &str)]) -> Self {
         let mut text = format!("time_ms=1 level=INFO part=daemon event=start host={host}\n");
         for (time_ms, line) in lines {
             text += &format!("time_ms={time_ms} level=INFO part=x {line}\n");
@@ -53,7 +53,7 @@
         (&taken, "nothing went wrong"),
     ];
     for (line, cause) in cases {
-        let logs = Logs::default().process("10.0.0.1", &[(5_000, &taken), (5_300, line)]);
+        let logs = Logs::default().with_process("10.0.0.1", &[(5_000, &taken), (5_300, line)]);
         let text = explain(FLOW, &logs.files).expect("an explanation");
         let first = text.lines().next().expect("a line");
         assert!(first.contains(cause), "{line}: {first}");
@@ -64,7 +64,7 @@
 #[test]
 fn a_request_is_traced_across_processes_without_lines_of_others() {
     let logs = Logs::default()
-        .process(
+        .with_process(
             "10.0.0.1",
             &[
                 (
@@ -74,7 +74,7 @@
                 (5_100, "event=opener_taken flow=100.64.0.9:1>198.18.0.1:443"),
             ],
         )
-        .process(
+        .with_process(
             "10.0.0.2",
             &[
                 (
@@ -93,7 +93,7 @@
                 (9_000, "event=platform_fails error=later"),
             ],
         )
-        .process(
+        .with_process(
             "10.0.0.3",
             &[(5_200, "event=platform_fails error=elsewhere")],
         );
@@ -113,7 +113,7 @@
 
 #[test]
 fn an_opener_before_the_first_configuration_is_explained() {
-    let logs = Logs::default().process(
+    let logs = Logs::default().with_process(
         "10.0.0.1",
         &[
             (4_000, "event=start host=10.0.0.1"),
@@ -134,7 +134,7 @@
 fn an_unusable_entry_and_a_declined_opener_are_explained() {
     let unusable = r#"event=entry_unusable id="i-1" revision=9 code=2403 reason=malformed"#;
     let declined = format!("event=opener_declined flow={FLOW} load_permille=400 mean_permille=200");
-    let logs = Logs::default().process("10.0.0.1", &[(4_900, unusable), (5_000, &declined)]);
+    let logs = Logs::default().with_process("10.0.0.1", &[(4_900, unusable), (5_000, &declined)]);
     let text = explain(FLOW, &logs.files).expect("an explanation");
     for part in ["more to do than others", "named no backend server to use"] {
         assert!(text.contains(part), "{part}: {text}");
@@ -143,7 +143,7 @@
 
 #[test]
 fn an_id_that_no_line_names_is_an_error() {
-    let logs = Logs::default().process("10.0.0.1", &[(1, "event=ready revision=3")]);
+    let logs = Logs::default().with_process("10.0.0.1", &[(1, "event=ready revision=3")]);
     let error = explain("r-9", &logs.files).expect_err("no line");
     assert_eq!(error.code, Code::LogSilent);
 }
