--- a/lab/src/cli.rs
+++ b/lab/src/cli.rs
@@ -371,15 +371,15 @@
         .split(',')
         .filter(|zone| !zone.is_empty())
         .collect();
-    let untold = LogDefaults {
+    let defaults = LogDefaults {
         slots: options.slots,
         zones: &zones,
     };
-    let account = OpenerSummary::from_lines(&lines, &untold);
+    let summary = OpenerSummary::from_lines(&lines, &defaults);
     let text = if options.csv {
-        openers_csv(&account)
+        openers_csv(&summary)
     } else {
-        openers_table(&account)
+        openers_table(&summary)
     };
     print!("{text}");
     let dropped: u64 = logs.iter().map(|(_, text)| count_dropped_lines(text)).sum();
--- a/lab/src/service_model.rs
+++ b/lab/src/service_model.rs
@@ -1,7 +1,9 @@
-//! One service's agents in a deterministic run: the decision core under arrivals, reports and edits.
+//! A deterministic model of the agents of one service, under arrivals, load reports and weight
+//! changes.
 //!
-//! It is no simulation of a cluster: no packets, no processes, one service. The real `Admission` and
-//! `PeerLoads` decide; arrivals, lifetimes and the choice of peers come from a seeded source.
+//! It models no packets, no processes and no other service. The library's own `Admission` and
+//! `PeerLoads` make the decisions; arrivals, lifetimes and the choice of peers come from a seeded
+//! random source.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -14,28 +16,28 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// The length of a step, in milliseconds.
+/// The length of a simulation step, in milliseconds.
 const STEP_MS: u64 = 50;
 
-/// How an opener finds its target.
+/// The policy that chooses the target of an opener.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Policy {
-    /// The owner by plain hash takes it: the naive version.
+    /// The owner by weighted hash takes every opener; the baseline.
     Hash,
-    /// The owner hands it to the runner-up of the same hash if that reported less load.
+    /// The owner passes the opener to the runner-up of the same hash if that reported less load.
     TwoChoices,
-    /// What endivedyke does.
+    /// The product's admission, in which the owner may deflect the opener to a peer.
     Deflect,
 }
 
-/// The load that the model puts on the service.
+/// The load on the modelled service.
 #[derive(Debug, Clone, Copy)]
 pub struct ModelLoad {
-    /// The mean number of open flows for each unit of 100 weight.
+    /// The mean number of open flows of a target with weight 100.
     pub flows_per_target: f64,
-    /// The mean time that a flow stays open, in milliseconds.
+    /// The mean lifetime of a flow, in milliseconds.
     pub lifetime_ms: f64,
-    /// How often an agent exchanges reports with one random peer, in milliseconds.
+    /// The interval at which an agent exchanges load reports with one random peer, in milliseconds.
     pub exchange_ms: u64,
 }
 
@@ -45,16 +47,17 @@
     peer_loads: PeerLoads,
     sequence: u32,
     next_exchange_ms: u64,
-    alive: bool,
+    is_alive: bool,
 }
 
-/// A service in a deterministic run.
+/// The model of one service.
 pub struct ServiceModel {
     policy: Policy,
     load: ModelLoad,
     table: Table,
     agents: Vec<ModelAgent>,
-    ends: BinaryHeap<Reverse<(u64, usize)>>,
+    /// The open flows as pairs of the end time in milliseconds and the target, earliest end first.
+    flow_ends: BinaryHeap<Reverse<(u64, usize)>>,
     random: StdRng,
     now_ms: u64,
     refused: u64,
@@ -65,7 +68,7 @@
     Ipv4Addr::new(10, 0, (index / 250) as u8, (index % 250 + 1) as u8)
 }
 
-/// Returns a table with a target for each weight above 0.
+/// Returns a table with one target for each weight.
 fn table(weights: &[u32]) -> Table {
     let mut text = format!("{TABLE_HEADER}\n");
     for (index, weight) in weights.iter().enumerate() {
@@ -76,7 +79,7 @@
 }
 
 impl ServiceModel {
-    /// Makes a service with a warm target for each weight and no flow.
+    /// Creates a service with one warm target for each weight and no open flow.
     pub fn new(policy: Policy, weights: &[u32], load: ModelLoad, seed: u64) -> Self {
         let mut random = StdRng::seed_from_u64(seed);
         let agent = |index| ModelAgent {
@@ -85,14 +88,14 @@
             peer_loads: PeerLoads::default(),
             sequence: 0,
             next_exchange_ms: random.random_range(0..load.exchange_ms),
-            alive: true,
+            is_alive: true,
         };
         Self {
             policy,
             load,
             table: table(weights),
             agents: (0..weights.len()).map(agent).collect(),
-            ends: BinaryHeap::new(),
+            flow_ends: BinaryHeap::new(),
             random,
             now_ms: endivedyke::SLOW_START_MS,
             refused: 0,
@@ -100,7 +103,7 @@
         }
     }
 
-    /// Puts new weights in force; a target beyond the ones known starts cold.
+    /// Sets the weights of all targets; additional targets start cold.
     pub fn set_weights(&mut self, weights: &[u32]) {
         self.table = table(weights);
         for index in self.agents.len()..weights.len() {
@@ -110,39 +113,40 @@
                 peer_loads: PeerLoads::default(),
                 sequence: 0,
                 next_exchange_ms: self.now_ms,
-                alive: true,
+                is_alive: true,
             });
         }
     }
 
-    /// Drains a target: it takes no opener, and its flows go on.
+    /// Drains a target: it takes no more openers, and its open flows continue.
     pub fn drain(&mut self, index: usize) {
         self.agents[index].admission.set_draining(true);
     }
 
-    /// Kills a target: its flows are lost, and they open again at once.
+    /// Kills a target, whose flows are lost and reopened at once, and returns their number.
     pub fn kill(&mut self, index: usize) -> u64 {
         let lost = u64::from(self.agents[index].admission.open_flows());
-        self.agents[index].alive = false;
+        self.agents[index].is_alive = false;
         self.agents[index].admission = Admission::warm(host(index));
-        self.ends.retain(|Reverse((_, target))| *target != index);
+        self.flow_ends
+            .retain(|Reverse((_, target))| *target != index);
         for _ in 0..lost {
             self.open_flow();
         }
         lost
     }
 
-    /// Opens this many flows at once, as at the start of a run.
+    /// Opens this many flows at once.
     pub fn fill(&mut self, flows: u64) {
         for _ in 0..flows {
             self.open_flow();
         }
     }
 
-    /// Closes all flows and opens as many again within `span_ms`, as after a loss of the site.
+    /// Closes all flows and reopens as many within `span_ms`, as after an outage of the site.
     pub fn reopen_all(&mut self, span_ms: u64) {
-        let flows = self.ends.len() as u64;
-        for Reverse((_, target)) in std::mem::take(&mut self.ends) {
+        let flows = self.flow_ends.len() as u64;
+        for Reverse((_, target)) in std::mem::take(&mut self.flow_ends) {
             self.agents[target].admission.flow_closed();
         }
         let steps = (span_ms / STEP_MS).max(1);
@@ -166,24 +170,25 @@
         &self.table
     }
 
-    /// Returns how many openers were refused, and how many were handed to a peer.
+    /// Returns the number of refused openers and the number of openers deflected to a peer.
     pub fn refused_and_deflected(&self) -> (u64, u64) {
         (self.refused, self.deflected)
     }
 
-    /// Returns the greatest load over its share by the table, less one.
+    /// Returns the current imbalance, as [`imbalance`] defines it.
     pub fn imbalance(&self) -> f64 {
         imbalance(&self.table, &self.open_flows())
     }
 
-    /// Returns the least imbalance that new flows alone can reach in `span_ms` from now.
+    /// Returns a lower bound of the imbalance that any policy can reach within `span_ms` without
+    /// moving open flows.
     ///
-    /// Each target keeps what does not end by itself, and all expected arrivals go where the level
-    /// is lowest (filled like water), which no policy can beat without moving flows.
+    /// Each target keeps the flows that don't end by then, and all expected arrivals go to the
+    /// target with the lowest load for its weight (water-filling).
     pub fn imbalance_lower_bound(&self, span_ms: u64) -> f64 {
         let until_ms = self.now_ms + span_ms;
         let mut kept = vec![0.0; self.agents.len()];
-        for Reverse((end_ms, target)) in &self.ends {
+        for Reverse((end_ms, target)) in &self.flow_ends {
             if *end_ms > until_ms {
                 kept[*target] += 1.0;
             }
@@ -209,49 +214,50 @@
         imbalance(&self.table, &flows)
     }
 
-    /// Runs for `span_ms` and returns the imbalance of each second.
+    /// Runs the model for `span_ms` and returns the imbalance at each second.
     pub fn run(&mut self, span_ms: u64) -> Vec<f64> {
-        let mut seen = Vec::new();
+        let mut imbalances = Vec::new();
         let until_ms = self.now_ms + span_ms;
         while self.now_ms < until_ms {
             self.step();
             if self.now_ms.is_multiple_of(1_000) {
-                seen.push(self.imbalance());
+                imbalances.push(self.imbalance());
             }
         }
-        seen
+        imbalances
     }
 
     fn step(&mut self) {
         self.now_ms += STEP_MS;
-        while let Some(Reverse((end_ms, target))) = self.ends.peek().copied() {
+        while let Some(Reverse((end_ms, target))) = self.flow_ends.peek().copied() {
             if end_ms > self.now_ms {
                 break;
             }
-            self.ends.pop();
+            self.flow_ends.pop();
             self.agents[target].admission.flow_closed();
         }
-        for _ in 0..self.arrivals() {
+        for _ in 0..self.draw_arrivals() {
             self.open_flow();
         }
         for index in 0..self.agents.len() {
-            if self.agents[index].alive && self.agents[index].next_exchange_ms <= self.now_ms {
+            if self.agents[index].is_alive && self.agents[index].next_exchange_ms <= self.now_ms {
                 self.agents[index].next_exchange_ms = self.now_ms + self.load.exchange_ms;
                 self.exchange(index);
             }
         }
     }
 
-    /// Draws the number of arrivals in a step, a Poisson variate by counting exponential gaps.
-    fn arrivals(&mut self) -> u64 {
+    /// Draws the number of arrivals in a step from a Poisson distribution, by counting
+    /// exponentially distributed gaps.
+    fn draw_arrivals(&mut self) -> u64 {
         let units = self.table.total_weight() as f64 / 100.0;
         let per_ms = self.load.flows_per_target * units / self.load.lifetime_ms;
-        let mut passed_ms = 0.0;
+        let mut elapsed_ms = 0.0;
         let mut count = 0;
         loop {
             let uniform: f64 = self.random.random_range(f64::EPSILON..1.0);
-            passed_ms -= uniform.ln() / per_ms;
-            if passed_ms > STEP_MS as f64 {
+            elapsed_ms -= uniform.ln() / per_ms;
+            if elapsed_ms > STEP_MS as f64 {
                 return count;
             }
             count += 1;
@@ -260,37 +266,42 @@
 
     fn open_flow(&mut self) {
         let opener_hash = self.random.random();
-        let alive = |row: &TableRow| self.agents[index_of(row)].alive;
-        let Some(chosen) = place_opener(&self.table, opener_hash, alive) else {
+        let is_alive = |row: &TableRow| self.agents[target_index(row)].is_alive;
+        let Some(placement) = place_opener(&self.table, opener_hash, is_alive) else {
             self.refused += 1;
             return;
         };
-        let (first, second) = (index_of(chosen.owner), chosen.runner_up.map(index_of));
-        let taken = match self.policy {
-            Policy::Hash => Some(first),
-            Policy::TwoChoices => Some(self.less_loaded(first, second)),
-            Policy::Deflect => self.decide(first, opener_hash),
+        let (owner, runner_up) = (
+            target_index(placement.owner),
+            placement.runner_up.map(target_index),
+        );
+        let target = match self.policy {
+            Policy::Hash => Some(owner),
+            Policy::TwoChoices => Some(self.less_loaded(owner, runner_up)),
+            Policy::Deflect => self.admit(owner, opener_hash),
         };
-        match taken {
+        match target {
             Some(target) => self.accept(target),
             None => self.refused += 1,
         }
     }
 
-    fn less_loaded(&self, first: usize, second: Option<usize>) -> usize {
-        let agent = &self.agents[first];
-        let Some(second) = second else {
-            return first;
+    /// Returns the runner-up if its reported load for its weight is below that of the owner, and the
+    /// owner otherwise.
+    fn less_loaded(&self, owner: usize, runner_up: Option<usize>) -> usize {
+        let agent = &self.agents[owner];
+        let Some(runner_up) = runner_up else {
+            return owner;
         };
-        let Some(known) = agent
+        let Some(peer_load) = agent
             .peer_loads
-            .fresh_load(self.agents[second].host, self.now_ms)
+            .fresh_load(self.agents[runner_up].host, self.now_ms)
         else {
-            return first;
+            return owner;
         };
-        let own = u64::from(agent.admission.open_flows()) * u64::from(self.weight(second));
-        let other = u64::from(known.report.open_flows) * u64::from(self.weight(first));
-        if other < own { second } else { first }
+        let own = u64::from(agent.admission.open_flows()) * u64::from(self.weight(runner_up));
+        let other = u64::from(peer_load.report.open_flows) * u64::from(self.weight(owner));
+        if other < own { runner_up } else { owner }
     }
 
     fn weight(&self, index: usize) -> u32 {
@@ -299,27 +310,29 @@
             .map_or(1, |row| row.weight)
     }
 
-    fn decide(&mut self, first: usize, opener_hash: u64) -> Option<usize> {
-        match self.decide_at(first, opener_hash, OpenerSource::Balancer) {
-            Decision::Accept => Some(first),
-            Decision::Deflect(peer) => self.hand_on(first, peer, opener_hash),
+    /// Returns the target that admits the opener, or `None` if it is refused.
+    fn admit(&mut self, owner: usize, opener_hash: u64) -> Option<usize> {
+        match self.decide_at(owner, opener_hash, OpenerSource::Balancer) {
+            Decision::Accept => Some(owner),
+            Decision::Deflect(peer) => self.deflect(owner, peer, opener_hash),
             Decision::Refuse(_) | Decision::Return => None,
         }
     }
 
-    fn hand_on(&mut self, first: usize, peer: Ipv4Addr, opener_hash: u64) -> Option<usize> {
+    /// Offers an opener to a peer, and returns it to the owner if the peer does not accept it.
+    fn deflect(&mut self, owner: usize, peer: Ipv4Addr, opener_hash: u64) -> Option<usize> {
         self.deflected += 1;
         let peer = self.agents.iter().position(|agent| agent.host == peer)?;
-        if !self.agents[peer].alive {
+        if !self.agents[peer].is_alive {
             return None;
         }
         if self.decide_at(peer, opener_hash, OpenerSource::DeflectingOwner) == Decision::Accept {
             return Some(peer);
         }
         let host = self.agents[peer].host;
-        self.agents[first].peer_loads.record_returned_opener(host);
-        let returned = self.decide_at(first, opener_hash, OpenerSource::ReturningPeer);
-        (returned == Decision::Accept).then_some(first)
+        self.agents[owner].peer_loads.record_returned_opener(host);
+        let returned = self.decide_at(owner, opener_hash, OpenerSource::ReturningPeer);
+        (returned == Decision::Accept).then_some(owner)
     }
 
     fn decide_at(&mut self, index: usize, opener_hash: u64, source: OpenerSource) -> Decision {
@@ -343,13 +356,13 @@
         self.agents[target].admission.flow_opened();
         let uniform: f64 = self.random.random_range(f64::EPSILON..1.0);
         let lifetime_ms = -uniform.ln() * self.load.lifetime_ms;
-        self.ends
+        self.flow_ends
             .push(Reverse((self.now_ms + lifetime_ms as u64, target)));
     }
 
     fn exchange(&mut self, index: usize) {
         let peers: Vec<usize> = (0..self.agents.len())
-            .filter(|peer| *peer != index && self.agents[*peer].alive)
+            .filter(|peer| *peer != index && self.agents[*peer].is_alive)
             .collect();
         if peers.is_empty() {
             return;
@@ -387,15 +400,17 @@
     }
 }
 
-fn index_of(row: &TableRow) -> usize {
+/// Returns the index of a target, which its name contains after the first character.
+fn target_index(row: &TableRow) -> usize {
     row.target[1..].parse().unwrap_or(0)
 }
 
-/// Returns the greatest load over its share by the table, less one.
+/// Returns the imbalance of open flows: the greatest ratio of a target's flows to its share by the
+/// table, minus 1.
 pub fn imbalance(table: &Table, open_flows: &[u32]) -> f64 {
     let total: f64 = open_flows.iter().map(|flows| f64::from(*flows)).sum();
     let excess = |row: &TableRow| {
-        let flows = open_flows.get(index_of(row)).copied().unwrap_or(0);
+        let flows = open_flows.get(target_index(row)).copied().unwrap_or(0);
         f64::from(flows) / (total * table.share(row)).max(1.0) - 1.0
     };
     let weighted = table.rows.iter().filter(|row| row.weight > 0);
