--- a/lab/src/backend_server.rs
+++ b/lab/src/backend_server.rs
@@ -1,7 +1,7 @@
-//! A stand-in for a backend server: slots, service time, feeds, claims, and ways to misbehave.
+//! A stand-in for a backend server, with a service time, feeds, claims and failure modes.
 //!
-//! It keeps a journal of what it ran, from which the lab counts doubled and lost claims and
-//! requests beyond its slots.
+//! It records the claims that it executes and the greatest number of concurrent requests, so that
+//! the lab can count duplicate and lost claims and check that the slots are not exceeded.
 
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
@@ -21,7 +21,7 @@
 
 type Body = UnsyncBoxBody<Bytes, Infallible>;
 
-/// What a backend server is told at its start.
+/// The options of a backend server.
 #[derive(Debug, Clone)]
 pub(crate) struct BackendOptions {
     pub(crate) address: SocketAddr,
@@ -30,12 +30,16 @@
     pub(crate) service_ms: u64,
 }
 
+/// How the server handles requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Mode {
+enum ServerMode {
     Normal,
+    /// Responds with status 500 at once.
     FailFast,
+    /// Responds with status 503 at once.
     Shed,
     Slow,
+    /// Slow at first, and back to the usual speed after [`WARM_UP_MS`].
     Cold,
 }
 
@@ -46,23 +50,24 @@
     served: Cell<u64>,
     busy_ms: Cell<u64>,
     claims: RefCell<Vec<String>>,
-    mode: Cell<Mode>,
-    mode_since: Cell<Instant>,
+    mode: Cell<ServerMode>,
+    mode_set_at: Cell<Instant>,
     cancelled: Cell<u64>,
 }
 
-/// How often its usual time a request takes at a slow or a cold server.
+/// The factor of the service time at a slow server, and at a cold server at first.
 const SLOWDOWN: u64 = 10;
-/// How long a cold server takes to reach its usual speed, in milliseconds.
+/// The time in which a cold server reaches its usual speed, in milliseconds.
 const WARM_UP_MS: u64 = 5_000;
 
-/// Counts a request that holds a slot, and whether its client went before its end.
-struct Running {
+/// A running request, which holds a slot until it is dropped. If it is dropped before it is
+/// finished, it counts as cancelled by its client.
+struct RunningRequest {
     backend: Rc<Backend>,
-    finished: Cell<bool>,
+    is_finished: Cell<bool>,
 }
 
-impl Running {
+impl RunningRequest {
     fn new(backend: &Rc<Backend>) -> Self {
         let running = backend.running.get() + 1;
         backend.running.set(running);
@@ -71,22 +76,22 @@
             .set(backend.most_running.get().max(running));
         Self {
             backend: backend.clone(),
-            finished: Cell::new(false),
+            is_finished: Cell::new(false),
         }
     }
 }
 
-impl Drop for Running {
+impl Drop for RunningRequest {
     fn drop(&mut self) {
         let backend = &self.backend;
         backend.running.set(backend.running.get() - 1);
-        if !self.finished.get() {
+        if !self.is_finished.get() {
             backend.cancelled.set(backend.cancelled.get() + 1);
         }
     }
 }
 
-/// Serves forever.
+/// Serves requests forever.
 pub(crate) async fn run(options: BackendOptions) -> Result<()> {
     let listener = TcpListener::bind(options.address).await?;
     let backend = Rc::new(Backend {
@@ -96,100 +101,110 @@
         served: Cell::new(0),
         busy_ms: Cell::new(0),
         claims: RefCell::default(),
-        mode: Cell::new(Mode::Normal),
-        mode_since: Cell::new(Instant::now()),
+        mode: Cell::new(ServerMode::Normal),
+        mode_set_at: Cell::new(Instant::now()),
         cancelled: Cell::new(0),
     });
-    endivedyke::serve_http(listener, move |request| answer(backend.clone(), request)).await;
+    endivedyke::serve_http(listener, move |request| handle(backend.clone(), request)).await;
     Ok(())
 }
 
-fn whole(status: StatusCode, text: impl Into<Bytes>) -> Response<Body> {
+fn text_response(status: StatusCode, text: impl Into<Bytes>) -> Response<Body> {
     let mut response = Response::new(Full::new(text.into()).boxed_unsync());
     *response.status_mut() = status;
     response
 }
 
-async fn answer(backend: Rc<Backend>, request: Request<Incoming>) -> Response<Body> {
+async fn handle(backend: Rc<Backend>, request: Request<Incoming>) -> Response<Body> {
     let (head, body) = request.into_parts();
     let path = head.uri.path().to_owned();
-    let words: Vec<&str> = path.trim_start_matches('/').split('/').collect();
-    match (&head.method, words.as_slice()) {
-        (&Method::GET, ["health"]) => whole(StatusCode::OK, "healthy\n"),
-        (_, ["lab", order @ ..]) => backend.obey(order),
-        (&Method::GET, ["feed", id, events, period_ms]) => {
-            feed(&backend, id, parse(events), parse(period_ms))
-        }
+    let segments: Vec<&str> = path.trim_start_matches('/').split('/').collect();
+    match (&head.method, segments.as_slice()) {
+        (&Method::GET, ["health"]) => text_response(StatusCode::OK, "healthy\n"),
+        (_, ["lab", command @ ..]) => backend.run_command(command),
+        (&Method::GET, ["feed", id, events, period_ms]) => feed_response(
+            &backend,
+            id,
+            parse_or_zero(events),
+            parse_or_zero(period_ms),
+        ),
         (_, ["status" | "claim" | "upload", _]) => {
-            work(&backend, &head.method, &words, left_ms(&head.headers), body).await
+            serve_request(
+                &backend,
+                &head.method,
+                &segments,
+                remaining_ms(&head.headers),
+                body,
+            )
+            .await
         }
-        _ => whole(StatusCode::NOT_FOUND, "no such path\n"),
+        _ => text_response(StatusCode::NOT_FOUND, "no such path\n"),
     }
 }
 
-/// Returns the time that the request has left, by its header.
-fn left_ms(headers: &http::HeaderMap) -> Option<u64> {
+/// Returns the remaining time of a request, from its timeout header.
+fn remaining_ms(headers: &http::HeaderMap) -> Option<u64> {
     headers.get(TIMEOUT_HEADER)?.to_str().ok()?.parse().ok()
 }
 
-fn parse(word: &str) -> u64 {
+fn parse_or_zero(word: &str) -> u64 {
     word.parse().unwrap_or(0)
 }
 
-async fn work(
+async fn serve_request(
     backend: &Rc<Backend>,
     method: &Method,
-    words: &[&str],
-    left_ms: Option<u64>,
+    segments: &[&str],
+    remaining_ms: Option<u64>,
     body: Incoming,
 ) -> Response<Body> {
     match backend.mode.get() {
-        Mode::FailFast => return whole(StatusCode::INTERNAL_SERVER_ERROR, "fails\n"),
-        Mode::Shed => return shed(),
-        Mode::Normal | Mode::Slow | Mode::Cold => {}
+        ServerMode::FailFast => return text_response(StatusCode::INTERNAL_SERVER_ERROR, "fails\n"),
+        ServerMode::Shed => return shed_response(),
+        ServerMode::Normal | ServerMode::Slow | ServerMode::Cold => {}
     }
     let service_ms = backend.service_ms();
-    if left_ms.is_some_and(|left_ms| left_ms < service_ms) {
-        return shed();
+    if remaining_ms.is_some_and(|remaining_ms| remaining_ms < service_ms) {
+        return shed_response();
     }
-    let running = Running::new(backend);
+    let running = RunningRequest::new(backend);
     let Ok(body) = body.collect().await else {
-        return whole(StatusCode::BAD_REQUEST, "the body ended early\n");
+        return text_response(StatusCode::BAD_REQUEST, "the body ended early\n");
     };
     let body = body.to_bytes();
-    let id = words[1];
-    if words[0] == "claim" && method == Method::POST {
+    let id = segments[1];
+    if segments[0] == "claim" && method == Method::POST {
         backend.claims.borrow_mut().push(id.to_owned());
     }
-    let slow = if backend.mode.get() == Mode::Slow {
+    let slowdown = if backend.mode.get() == ServerMode::Slow {
         10
     } else {
         1
     };
-    let service_ms = backend.options.service_ms * slow;
+    let service_ms = backend.options.service_ms * slowdown;
     compio::time::sleep(Duration::from_millis(service_ms)).await;
-    running.finished.set(true);
+    running.is_finished.set(true);
     backend.served.set(backend.served.get() + 1);
     backend.busy_ms.set(backend.busy_ms.get() + service_ms);
     let service = &backend.options.service;
-    whole(
+    text_response(
         StatusCode::OK,
         format!(
             "{service} {} {id} {} {:016x}\n",
-            words[0],
+            segments[0],
             body.len(),
             bytes_hash(&body)
         ),
     )
 }
 
-fn shed() -> Response<Body> {
-    let mut response = whole(StatusCode::SERVICE_UNAVAILABLE, "sheds load\n");
+fn shed_response() -> Response<Body> {
+    let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "sheds load\n");
     response.headers_mut().insert("retry-after", 1.into());
     response
 }
 
-fn feed(backend: &Rc<Backend>, id: &str, events: u64, period_ms: u64) -> Response<Body> {
+fn feed_response(backend: &Rc<Backend>, id: &str, events: u64, period_ms: u64) -> Response<Body> {
     let (mut sender, receiver) = mpsc::channel::<std::result::Result<Frame<Bytes>, Infallible>>(1);
     let start = format!("data: {} {id}", backend.options.service);
     compio::runtime::spawn(async move {
@@ -212,29 +227,30 @@
 }
 
 impl Backend {
-    fn obey(&self, order: &[&str]) -> Response<Body> {
-        let mode = match order {
-            ["claims"] => return whole(StatusCode::OK, self.claims.borrow().join("\n")),
-            ["counts"] => return whole(StatusCode::OK, self.counts()),
-            ["mode", "normal"] => Mode::Normal,
-            ["mode", "fail-fast"] => Mode::FailFast,
-            ["mode", "shed"] => Mode::Shed,
-            ["mode", "slow"] => Mode::Slow,
-            ["mode", "cold"] => Mode::Cold,
-            _ => return whole(StatusCode::NOT_FOUND, "no such order\n"),
+    /// Runs a command of the lab, given as the segments of its path.
+    fn run_command(&self, command: &[&str]) -> Response<Body> {
+        let mode = match command {
+            ["claims"] => return text_response(StatusCode::OK, self.claims.borrow().join("\n")),
+            ["counts"] => return text_response(StatusCode::OK, self.counts()),
+            ["mode", "normal"] => ServerMode::Normal,
+            ["mode", "fail-fast"] => ServerMode::FailFast,
+            ["mode", "shed"] => ServerMode::Shed,
+            ["mode", "slow"] => ServerMode::Slow,
+            ["mode", "cold"] => ServerMode::Cold,
+            _ => return text_response(StatusCode::NOT_FOUND, "unknown command\n"),
         };
         self.mode.set(mode);
-        self.mode_since.set(Instant::now());
-        whole(StatusCode::OK, "done\n")
+        self.mode_set_at.set(Instant::now());
+        text_response(StatusCode::OK, "done\n")
     }
 
-    /// Returns how long a request takes now.
+    /// Returns the service time of a request in the current mode.
     fn service_ms(&self) -> u64 {
         let usual_ms = self.options.service_ms;
         match self.mode.get() {
-            Mode::Slow => usual_ms * SLOWDOWN,
-            Mode::Cold => {
-                let since_ms = self.mode_since.get().elapsed().as_millis() as u64;
+            ServerMode::Slow => usual_ms * SLOWDOWN,
+            ServerMode::Cold => {
+                let since_ms = self.mode_set_at.get().elapsed().as_millis() as u64;
                 let cold_ms = WARM_UP_MS.saturating_sub(since_ms);
                 usual_ms + usual_ms * (SLOWDOWN - 1) * cold_ms / WARM_UP_MS
             }
@@ -242,6 +258,7 @@
         }
     }
 
+    /// Returns the server's counts as JSON.
     fn counts(&self) -> String {
         let counts = serde_json::json!({
             "served": self.served.get(),
--- a/lab/src/caller.rs
+++ b/lab/src/caller.rs
@@ -1,4 +1,4 @@
-//! A caller: speaks HTTP/3 as docs/CALLERS.md asks, and tells what it saw.
+//! A caller that speaks HTTP/3 as docs/CALLERS.md specifies and counts its flows.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -15,31 +15,32 @@
 use endivedyke::{CODE_HEADER, Code, Error, Result, TICKET_HEADER, TIMEOUT_HEADER};
 use http::{Method, Request};
 
-const KEEP_ALIVE: Duration = Duration::from_secs(1);
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
 const IDLE_TIMEOUT_MS: u32 = 10_000;
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(8);
 const REQUEST_TIMEOUT_MS: u64 = 8_000;
+/// The HTTP/3 error code of a connection that is closed without an error (RFC 9114, 8.1).
 const H3_NO_ERROR: u64 = 0x100;
 
 type Stream = RequestStream<h3::BidiStream<Bytes>, Bytes>;
 
-/// What came back for one try of a request.
+/// The reply to one attempt of a request.
 #[derive(Debug, Clone)]
 pub struct Reply {
     /// The HTTP status.
     pub status: u16,
-    /// The number of the result code, or 0.
+    /// The number of the result code, or 0 if the reply has none.
     pub code: u16,
-    /// After how long to come back, in milliseconds.
+    /// The delay before the next attempt, in milliseconds.
     pub retry_after_ms: u64,
-    /// The ticket for the next try.
+    /// The ticket for the next attempt.
     pub ticket: Option<String>,
-    /// The body.
+    /// The response body.
     pub body: Bytes,
 }
 
 impl Reply {
-    /// Returns the result code, if it is a known one.
+    /// Returns the result code, or `None` if its number is unknown.
     pub fn result_code(&self) -> Option<Code> {
         Code::from_number(self.code)
     }
@@ -51,7 +52,7 @@
     _driver: JoinHandle<()>,
 }
 
-/// A caller of one service with at most one flow at a time.
+/// A caller of one service, which has at most one flow at a time.
 pub struct Caller {
     service: SocketAddr,
     endpoint: Endpoint,
@@ -61,11 +62,11 @@
 }
 
 impl Caller {
-    /// Makes a caller with an address of its own.
+    /// Creates a caller with its own local address.
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where no socket can be had.
+    /// Returns code 5001 if no socket can be bound.
     pub async fn new(service: SocketAddr) -> Result<Caller> {
         let mut endpoint = Endpoint::client((Ipv4Addr::LOCALHOST, 0)).await?;
         endpoint.default_client_config = Some(client_config());
@@ -78,16 +79,16 @@
         })
     }
 
-    /// Returns how many flows were opened and how many of them were lost while in use.
+    /// Returns the number of flows opened, and the number of those that broke while in use.
     pub fn flow_counts(&self) -> (u64, u64) {
         (self.flows_opened, self.flows_broken)
     }
 
-    /// Opens the flow, if none is open.
+    /// Opens a flow if none is open.
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where the service refuses it or does not answer.
+    /// Returns code 5001 if the service refuses the flow or does not answer.
     pub async fn connect(&mut self) -> Result<()> {
         if let Some(flow) = &self.flow {
             if flow.quic.close_reason().is_none() {
@@ -96,12 +97,12 @@
             self.drop_flow();
         }
         let connecting = self.endpoint.connect(self.service, "localhost", None);
-        let connecting = connecting.map_err(failed)?;
+        let connecting = connecting.map_err(io_error)?;
         let quic = compio::time::timeout(CONNECT_TIMEOUT, connecting).await;
         let quic = quic
-            .map_err(|_| failed("no handshake in time"))?
-            .map_err(failed)?;
-        let (mut driver, sender) = h3::client::new(quic.clone()).await.map_err(failed)?;
+            .map_err(|_| io_error("the QUIC handshake timed out"))?
+            .map_err(io_error)?;
+        let (mut driver, sender) = h3::client::new(quic.clone()).await.map_err(io_error)?;
         let driver = compio::runtime::spawn(async move {
             driver.wait_idle().await;
         });
@@ -114,7 +115,7 @@
         Ok(())
     }
 
-    /// Gives the flow up, so that the next request opens another, and counts it if it was broken.
+    /// Drops the current flow, if any, and counts it if it broke. The next request opens a new one.
     pub fn drop_flow(&mut self) {
         let Some(flow) = self.flow.take() else {
             return;
@@ -128,11 +129,11 @@
         }
     }
 
-    /// Sends a request once and reads its whole answer.
+    /// Sends a request once and reads the complete response.
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where the flow is lost before the answer is whole.
+    /// Returns code 5001 if the flow breaks before the response is complete.
     pub async fn call(
         &mut self,
         method: &Method,
@@ -164,49 +165,52 @@
             Some(ticket) => request.header(TICKET_HEADER, ticket),
             None => request,
         };
-        let mut stream = self.send(request.body(()).map_err(failed)?).await?;
+        let mut stream = self
+            .send_headers(request.body(()).map_err(io_error)?)
+            .await?;
         if !body.is_empty() {
-            // An answer can come before the body is taken; then the answer counts.
+            // The server may respond before it has read the body, which makes sending it fail; the
+            // response counts.
             let _ = stream.send_data(body.clone()).await;
         }
         let _ = stream.finish().await;
         read_reply(&mut stream).await
     }
 
-    async fn send(&mut self, request: Request<()>) -> Result<Stream> {
-        let flow = self.flow.as_mut().ok_or_else(|| failed("no flow"))?;
-        flow.sender.send_request(request).await.map_err(failed)
+    async fn send_headers(&mut self, request: Request<()>) -> Result<Stream> {
+        let flow = self.flow.as_mut().ok_or_else(|| io_error("no flow"))?;
+        flow.sender.send_request(request).await.map_err(io_error)
     }
 
-    /// Reads a feed of `events` events and hands each piece of it to `seen`.
+    /// Reads a feed to its end and passes each chunk of it to `on_chunk`.
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where the feed breaks off.
-    pub async fn read_feed(&mut self, path: &str, mut seen: impl FnMut(&[u8])) -> Result<()> {
+    /// Returns code 5001 if the feed is refused or breaks off.
+    pub async fn read_feed(&mut self, path: &str, mut on_chunk: impl FnMut(&[u8])) -> Result<()> {
         self.connect().await?;
         let request = Request::get(format!("https://localhost{path}"))
             .header("accept", "text/event-stream")
             .body(())
-            .map_err(failed)?;
-        let mut stream = self.send(request).await?;
-        stream.finish().await.map_err(failed)?;
-        let head = stream.recv_response().await.map_err(failed)?;
+            .map_err(io_error)?;
+        let mut stream = self.send_headers(request).await?;
+        stream.finish().await.map_err(io_error)?;
+        let head = stream.recv_response().await.map_err(io_error)?;
         if !head.status().is_success() {
-            return Err(failed(head.status()));
+            return Err(io_error(head.status()));
         }
-        while let Some(mut piece) = stream.recv_data().await.map_err(failed)? {
-            seen(&piece.copy_to_bytes(piece.remaining()));
+        while let Some(mut chunk) = stream.recv_data().await.map_err(io_error)? {
+            on_chunk(&chunk.copy_to_bytes(chunk.remaining()));
         }
         Ok(())
     }
 }
 
 async fn read_reply(stream: &mut Stream) -> Result<Reply> {
-    let head = stream.recv_response().await.map_err(failed)?;
+    let head = stream.recv_response().await.map_err(io_error)?;
     let mut body = BytesMut::new();
-    while let Some(mut piece) = stream.recv_data().await.map_err(failed)? {
-        body.extend_from_slice(&piece.copy_to_bytes(piece.remaining()));
+    while let Some(mut chunk) = stream.recv_data().await.map_err(io_error)? {
+        body.extend_from_slice(&chunk.copy_to_bytes(chunk.remaining()));
     }
     let header = |name: &str| head.headers().get(name)?.to_str().ok();
     let number = |name: &str| header(name).and_then(|value| value.parse::<u64>().ok());
@@ -219,11 +223,11 @@
     })
 }
 
-fn failed(error: impl std::fmt::Display) -> Error {
+fn io_error(error: impl std::fmt::Display) -> Error {
     Error::new(Code::Io, error.to_string())
 }
 
-/// Tells whether a flow ended otherwise than by a close that its agent or caller meant.
+/// Returns whether a flow ended in any other way than a deliberate close by its agent or caller.
 fn is_broken(reason: &ConnectionError) -> bool {
     match reason {
         ConnectionError::LocallyClosed => false,
@@ -232,12 +236,12 @@
     }
 }
 
-/// Trusts any certificate, since the lab makes its own.
+/// Returns a client configuration that accepts any certificate, since a site's is self-signed.
 fn client_config() -> ClientConfig {
     let builder = ClientBuilder::new_with_no_server_verification();
     let mut config = builder.with_alpn_protocols(&["h3"]).build();
     let mut transport = TransportConfig::default();
-    transport.keep_alive_interval(Some(KEEP_ALIVE));
+    transport.keep_alive_interval(Some(KEEP_ALIVE_INTERVAL));
     transport.max_idle_timeout(Some(IdleTimeout::from(VarInt::from_u32(IDLE_TIMEOUT_MS))));
     config.transport_config(Arc::new(transport));
     config
--- a/lab/src/caller_process.rs
+++ b/lab/src/caller_process.rs
@@ -1,4 +1,4 @@
-//! A process of callers against a running site, and the check of its claims.
+//! A process of callers of a running site, and the check of the claims that it reports.
 
 use std::fs;
 use std::path::PathBuf;
@@ -11,24 +11,24 @@
 use crate::process::Process;
 use crate::site::Site;
 
-const END_TIMEOUT: Duration = Duration::from_secs(90);
+const FINISH_TIMEOUT: Duration = Duration::from_secs(90);
 
-/// How many callers do what, and for how long.
+/// The load of a process of callers.
 #[derive(Debug, Clone, Copy)]
 pub struct CallerLoad {
-    /// Feeds that stay open.
+    /// The number of feeds, each of which stays open for the whole run.
     pub feeds: u64,
-    /// Clients that send one request after another.
+    /// The number of clients, each of which sends one request after another.
     pub clients: u64,
-    /// For how long.
+    /// The duration of the run, in seconds.
     pub seconds: u64,
     /// The mean pause of a client between two requests, in milliseconds.
     pub think_ms: u64,
-    /// The time between two events of a feed, in milliseconds.
+    /// The interval between the events of a feed, in milliseconds.
     pub feed_period_ms: u64,
 }
 
-/// Callers of one service in a process of their own.
+/// A process of callers of one service.
 #[derive(Debug)]
 pub struct CallerProcess {
     process: Process,
@@ -37,11 +37,11 @@
 }
 
 impl CallerProcess {
-    /// Starts the callers.
+    /// Starts the process.
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where the process can't be started.
+    /// Returns code 5001 if the process can't be started.
     pub fn start(site: &Site, service: usize, load: &CallerLoad) -> Result<Self> {
         let prefix = format!("s{service}-{:08x}", rand::random::<u32>());
         let report = site.file(&format!("{prefix}.json"));
@@ -67,18 +67,19 @@
         })
     }
 
-    /// Waits for the callers' end and checks their claims against the backend servers' journals.
+    /// Waits until the callers finish, and compares the claims they report with those that the
+    /// backend servers executed.
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where they do not end or a backend server does not answer.
+    /// Returns code 5001 if the callers do not finish in time or a backend server does not answer.
     pub async fn finish(mut self, site: &Site) -> Result<CallerStats> {
-        self.process.wait(END_TIMEOUT).await?;
+        self.process.wait(FINISH_TIMEOUT).await?;
         let text = fs::read_to_string(&self.report)?;
-        let tally: std::result::Result<CallerStats, _> = serde_json::from_str(&text);
-        let mut tally = tally.map_err(|error| Error::new(Code::Io, error.to_string()))?;
-        let mut journal = site.executed_claims(self.service).await?;
-        claim_check::count_claim_errors(&mut tally, &mut journal);
-        Ok(tally)
+        let stats: std::result::Result<CallerStats, _> = serde_json::from_str(&text);
+        let mut stats = stats.map_err(|error| Error::new(Code::Io, error.to_string()))?;
+        let mut executed = site.executed_claims(self.service).await?;
+        claim_check::count_claim_errors(&mut stats, &mut executed);
+        Ok(stats)
     }
 }
--- a/lab/src/caller_stats.rs
+++ b/lab/src/caller_stats.rs
@@ -1,38 +1,38 @@
-//! What callers saw, counted.
+//! Counts of the requests and flows of callers.
 
 use serde::{Deserialize, Serialize};
 
-/// The counts of a run, which add up over processes.
+/// The counts of a run, which can be added over processes.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallerStats {
-    /// Requests that callers wanted answered, feeds among them.
+    /// Requests, including feeds.
     pub requests: u64,
-    /// Requests that got the whole answer of their own.
+    /// Requests that got their own complete response.
     pub answered: u64,
-    /// Tries that were refused with "not run", after which the caller came back.
+    /// Attempts that were refused without being executed, and that the caller retried.
     pub refused: u64,
-    /// Requests that ended with "outcome unknown".
+    /// Requests that ended with an unknown outcome.
     pub unknown: u64,
-    /// Requests whose answer was another's, truncated or of another service.
+    /// Requests whose response belonged to another request or service, or was truncated.
     pub wrong: u64,
-    /// Claims that ran more than once.
+    /// Claims that were executed more than once.
     pub doubled: u64,
-    /// Claims that were answered and did not run.
+    /// Claims that were answered but not executed.
     pub lost: u64,
     /// Flows opened.
     pub flows: u64,
-    /// Flows that were lost while in use.
+    /// Flows that broke while in use.
     pub flows_broken: u64,
-    /// Feeds that did not bring every event in its order.
+    /// Feeds that did not deliver every event in order.
     pub feeds_broken: u64,
-    /// Answered claims, by their ids.
+    /// The ids of answered claims.
     pub claims: Vec<String>,
-    /// Latencies of answered requests, in microseconds.
+    /// The latencies of answered requests, in microseconds.
     pub latencies_us: Vec<u64>,
 }
 
 impl CallerStats {
-    /// Adds another count to this one.
+    /// Adds the counts of `other` to these.
     pub fn add(&mut self, other: &CallerStats) {
         self.requests += other.requests;
         self.answered += other.answered;
@@ -48,10 +48,10 @@
         self.latencies_us.extend_from_slice(&other.latencies_us);
     }
 
-    /// Tells whether every promise that callers can see was kept.
+    /// Returns whether every request was answered correctly and no flow or feed broke.
     pub fn is_clean(&self) -> bool {
-        let answered = self.answered == self.requests;
-        let whole = self.wrong == 0 && self.doubled == 0 && self.lost == 0;
-        answered && whole && self.flows_broken == 0 && self.feeds_broken == 0
+        let all_answered = self.answered == self.requests;
+        let all_correct = self.wrong == 0 && self.doubled == 0 && self.lost == 0;
+        all_answered && all_correct && self.flows_broken == 0 && self.feeds_broken == 0
     }
 }
--- a/lab/src/claim_check.rs
+++ b/lab/src/claim_check.rs
@@ -1,11 +1,15 @@
-//! Compares the claims that callers saw answered with the journals of the backend servers.
+//! Compares the claims that were answered with the claims that backend servers executed.
 
 use crate::caller_stats::CallerStats;
 
-/// Counts doubled and lost claims into `tally`.
-pub(crate) fn count_claim_errors(tally: &mut CallerStats, journal: &mut [String]) {
-    journal.sort_unstable();
-    tally.doubled += journal.windows(2).filter(|pair| pair[0] == pair[1]).count() as u64;
-    let lost = |claim: &&String| journal.binary_search(claim).is_err();
-    tally.lost += tally.claims.iter().filter(lost).count() as u64;
+/// Adds to `stats` the number of claims that were executed more than once, and of answered claims
+/// that were not executed.
+pub(crate) fn count_claim_errors(stats: &mut CallerStats, executed: &mut [String]) {
+    executed.sort_unstable();
+    stats.doubled += executed
+        .windows(2)
+        .filter(|pair| pair[0] == pair[1])
+        .count() as u64;
+    let lost = |claim: &&String| executed.binary_search(claim).is_err();
+    stats.lost += stats.claims.iter().filter(lost).count() as u64;
 }
--- a/lab/src/cli.rs
+++ b/lab/src/cli.rs
@@ -247,7 +247,7 @@
     report: Option<PathBuf>,
 }
 
-/// Runs the lab with the arguments of the process.
+/// Runs the command in the arguments of the process and returns its exit code.
 pub fn run() -> ExitCode {
     let options = LabOptions::parse_args_default_or_exit();
     if options.version {
@@ -265,7 +265,7 @@
         Some(Command::Load(options)) => run_load(&options),
         Some(Command::Fabric(options)) => run_fabric(&options),
         Some(Command::ConfigService(options)) => {
-            given(options.address).and_then(|address| block_on(config_service::run(address)))
+            required(options.address).and_then(|address| block_on(config_service::run(address)))
         }
         Some(Command::BackendServer(options)) => run_backend(&options),
         Some(Command::Callers(options)) => run_callers(&options),
@@ -284,15 +284,16 @@
     }
 }
 
-fn given<T>(option: Option<T>) -> Result<T> {
-    option.ok_or_else(|| Error::new(Code::Usage, "an option is missing"))
+fn required<T>(option: Option<T>) -> Result<T> {
+    option.ok_or_else(|| Error::new(Code::Usage, "a required option is missing"))
 }
 
-fn list<T: std::str::FromStr>(text: &str) -> Result<Vec<T>> {
+/// Parses a list of addresses separated by commas.
+fn parse_list<T: std::str::FromStr>(text: &str) -> Result<Vec<T>> {
     let words = text.split(',').filter(|word| !word.is_empty());
     let parse = |word: &str| {
         let parsed = word.parse().ok();
-        parsed.ok_or_else(|| Error::new(Code::Usage, format!("{word:?} is no address")))
+        parsed.ok_or_else(|| Error::new(Code::Usage, format!("{word:?} is not a valid address")))
     };
     words.map(parse).collect()
 }
@@ -311,9 +312,9 @@
 }
 
 fn opaque_quickstart() -> Result<()> {
-    let (line, clean) = run_opaque_quickstart(|step| println!("{step}"))?;
+    let (line, is_clean) = run_opaque_quickstart(|step| println!("{step}"))?;
     println!("{line}");
-    if clean {
+    if is_clean {
         return Ok(());
     }
     Err(Error::new(
@@ -322,26 +323,26 @@
     ))
 }
 
-/// Runs all seeds, also after one that broke something, and fails if any did.
+/// Runs the soak test with every seed, and fails if any of the runs failed.
 fn soak(options: &SoakOptions) -> Result<()> {
-    let mut broken = Vec::new();
+    let mut failed_seeds = Vec::new();
     for seed in options.seed..options.seed + options.count {
         match block_on(run_soak(seed, options.seconds, options.logs.as_deref())) {
             Ok(line) => println!("{line}"),
             Err(error) => {
                 println!("{}", error.message);
-                broken.push(seed.to_string());
+                failed_seeds.push(seed.to_string());
             }
         }
     }
-    if broken.is_empty() {
+    if failed_seeds.is_empty() {
         return Ok(());
     }
-    let message = format!("seeds {} broke a promise", broken.join(", "));
+    let message = format!("seeds {} broke a promise", failed_seeds.join(", "));
     Err(Error::new(Code::OutcomeUnknown, message))
 }
 
-/// Reads log files, of which there must be one at least, each with its name.
+/// Reads log files and returns the path and text of each. At least one path is required.
 fn read_logs(paths: &[PathBuf], usage: &str) -> Result<Vec<(String, String)>> {
     if paths.is_empty() {
         return Err(Error::new(Code::Usage, usage));
@@ -422,14 +423,14 @@
 }
 
 fn run_fabric(options: &FabricOptions) -> Result<()> {
-    let services: Vec<SocketAddr> = list(&options.services)?;
-    let balancers: Vec<IpAddr> = list(&options.balancers)?;
-    block_on(fabric::run(&services, balancers, given(options.admin)?))
+    let services: Vec<SocketAddr> = parse_list(&options.services)?;
+    let balancers: Vec<IpAddr> = parse_list(&options.balancers)?;
+    block_on(fabric::run(&services, balancers, required(options.admin)?))
 }
 
 fn run_backend(options: &BackendServerOptions) -> Result<()> {
     block_on(backend_server::run(BackendOptions {
-        address: given(options.address)?,
+        address: required(options.address)?,
         service: options.service.clone(),
         slots: options.slots,
         service_ms: options.service_ms,
@@ -438,7 +439,7 @@
 
 fn run_callers(options: &CallersOptions) -> Result<()> {
     let plan = CallersPlan {
-        address: given(options.address)?,
+        address: required(options.address)?,
         service: options.service.clone(),
         prefix: options.prefix.clone(),
         feeds: options.feeds,
--- a/lab/src/control_cost.rs
+++ b/lab/src/control_cost.rs
@@ -1,5 +1,5 @@
-//! What control costs: bytes and processor time of daemons at rest and under edits, and the memory
-//! of the configuration.
+//! Measures the cost of the control plane: the traffic and processor time of idle daemons and of
+//! daemons under weight changes, and the memory of the configuration.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 const EDITS: u32 = 50;
 const ROWS_PER_SERVICE: usize = 12;
 
-/// Bytes, calls and processor time of all daemons together.
+/// The control traffic and processor time of all daemons together.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct ControlCost {
     pub(crate) daemons: f64,
@@ -24,24 +24,26 @@
     pub(crate) cpu_ms: f64,
 }
 
-/// Returns the cost of a span at rest and of one with [`EDITS`] edits, and the number of edits.
-pub(crate) async fn run() -> Result<(ControlCost, ControlCost, u32)> {
+/// Returns the cost of an idle span, the cost of a span with [`EDITS`] weight changes, and the
+/// number of changes.
+pub(crate) async fn measure() -> Result<(ControlCost, ControlCost, u32)> {
     let builder = SiteBuilder::new(3).service("queue-desk", 7, 7, 5);
     let site = builder.start().await?;
     compio::time::sleep(Duration::from_secs(3)).await;
-    let start = total(&site).await?;
+    let start = total_cost(&site).await?;
     compio::time::sleep(SPAN).await;
-    let rest = total(&site).await?;
+    let idle = total_cost(&site).await?;
     for edit in 0..EDITS {
         site.set_weights(0, &[100 + edit, 100, 100, 100, 100, 100, 100])
             .await?;
         compio::time::sleep(SPAN / EDITS).await;
     }
-    let edited = total(&site).await?;
-    Ok((difference(&start, &rest), difference(&rest, &edited), EDITS))
+    let edited = total_cost(&site).await?;
+    Ok((difference(&start, &idle), difference(&idle, &edited), EDITS))
 }
 
-async fn total(site: &Site) -> Result<ControlCost> {
+/// Returns the cumulative cost of all daemons since their start.
+async fn total_cost(site: &Site) -> Result<ControlCost> {
     let mut total = ControlCost::default();
     for (_, id, host) in site.processes() {
         let Some(host) = host else {
@@ -65,7 +67,7 @@
     }
 }
 
-/// Returns the bytes of published text and of memory that a configuration of this size takes.
+/// Returns the size of the published text and the memory of a configuration of this size, in bytes.
 pub(crate) fn configuration_memory(rows: usize, hosts: usize) -> Result<(u64, u64)> {
     let before = proc_stat::usage(std::process::id())?.memory_bytes;
     let mut store = ConfigStore::new(&ClusterKey::new([1; CLUSTER_KEY_BYTES]));
@@ -77,15 +79,18 @@
         store.accept(name, revision, text).map(|_| ())
     };
     for service in 0..rows.div_ceil(ROWS_PER_SERVICE) {
-        accept(&format!("table/service-{service}"), &service_text(service))?;
+        accept(
+            &format!("table/service-{service}"),
+            &service_table_text(service),
+        )?;
     }
-    accept(HOSTS_NAME, &hosts_text(hosts))?;
+    accept(HOSTS_NAME, &host_list_text(hosts))?;
     let after = proc_stat::usage(std::process::id())?.memory_bytes;
     drop(store);
     Ok((text_bytes, after.saturating_sub(before)))
 }
 
-fn service_text(service: usize) -> String {
+fn service_table_text(service: usize) -> String {
     let mut text = format!("{TABLE_HEADER}\n");
     for row in 0..ROWS_PER_SERVICE {
         let (high, low) = (service >> 8, service & 0xff);
@@ -97,7 +102,7 @@
     text
 }
 
-fn hosts_text(hosts: usize) -> String {
+fn host_list_text(hosts: usize) -> String {
     let mut text = format!("{HOSTS_HEADER}\n");
     for host in 0..hosts {
         let (high, low) = (host >> 8, host & 0xff);
--- a/lab/src/control_traffic.rs
+++ b/lab/src/control_traffic.rs
@@ -1,4 +1,4 @@
-//! What a daemon has sent and received over its control links so far.
+//! The traffic of a daemon's control links since its start.
 
 use std::net::Ipv4Addr;
 
@@ -6,14 +6,14 @@
 
 use crate::site::Site;
 
-/// Bytes both ways, and calls made.
+/// Bytes sent and received, and calls made.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct ControlTraffic {
     pub(crate) bytes: f64,
     pub(crate) calls: f64,
 }
 
-/// Reads the counts of the daemon on `host`.
+/// Reads the control traffic of the daemon on `host` from its metrics.
 pub(crate) async fn read(site: &Site, host: Ipv4Addr) -> Result<ControlTraffic> {
     let names = [
         "control_bytes_sent_total",
--- a/lab/src/datagram_rate.rs
+++ b/lab/src/datagram_rate.rs
@@ -1,4 +1,5 @@
-//! How many datagrams a second a real balancer forwards, beside a bare loop on the same runtime.
+//! Measures the rate at which a balancer forwards datagrams, compared to a bare receive-and-send
+//! loop on the same runtime.
 
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
 use std::sync::Arc;
@@ -19,7 +20,7 @@
 const SPAN: Duration = Duration::from_secs(3);
 const FLOWS: usize = 200_000;
 
-/// What the run showed.
+/// The measured rates, and the memory of the balancer before and after the datagrams.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct DatagramRates {
     pub(crate) bare_per_s: f64,
@@ -29,18 +30,18 @@
     pub(crate) memory_after_bytes: u64,
 }
 
-/// Runs the bare loop and then a balancer under the same senders.
-pub(crate) fn run() -> Result<DatagramRates> {
+/// Measures the bare loop and then a balancer, with the same senders.
+pub(crate) fn measure() -> Result<DatagramRates> {
     let runtime = compio::runtime::Runtime::new()?;
     let mut site = runtime.block_on(SiteBuilder::new(1).service("front", 1, 4, 5).start())?;
     let id = site.balancer(0).map_or(0, |balancer| balancer.id());
     let sink = Sink::start(site.unused_host())?;
     let bare_per_s = bare_rate(&site, &sink)?;
-    let port = SocketAddr::from((site.balancer_host(0), site.service_address(0).port()));
+    let destination = SocketAddr::from((site.balancer_host(0), site.service_address(0).port()));
     let memory_before_bytes = proc_stat::usage(id)?.memory_bytes;
-    let with_token_per_s = sink.rate_of(port, &token_packets(site.unused_host()))?;
+    let with_token_per_s = sink.measure_rate(destination, &token_packets(site.unused_host()))?;
     let memory_after_bytes = proc_stat::usage(id)?.memory_bytes;
-    let openers_per_s = opener_rate(&runtime, &site, port)?;
+    let openers_per_s = opener_rate(&runtime, &site, destination)?;
     Ok(DatagramRates {
         bare_per_s,
         with_token_per_s,
@@ -50,7 +51,7 @@
     })
 }
 
-/// Returns one packet for each of many flows, with tokens of an agent on `host`.
+/// Returns one packet for each of [`FLOWS`] flows, with tokens of an agent on `host`.
 fn token_packets(host: Ipv4Addr) -> Vec<Vec<u8>> {
     let ring = KeyRing::initial(&ClusterKey::new([SITE_KEY_BYTE; CLUSTER_KEY_BYTES]));
     let packet = |nonce: usize| {
@@ -67,6 +68,7 @@
     (0..FLOWS).map(packet).collect()
 }
 
+/// Returns one opener for each of [`FLOWS`] flows.
 fn opener_packets() -> Vec<Vec<u8>> {
     let packet = |number: usize| {
         let mut packet = vec![0xc0, 0, 0, 0, 1, 8];
@@ -76,11 +78,11 @@
     (0..FLOWS).map(packet).collect()
 }
 
-/// Counts what arrives at an address of its own.
+/// A receiver that counts the datagrams at its address.
 struct Sink {
     address: SocketAddr,
     received: Arc<AtomicU64>,
-    stop: Arc<AtomicBool>,
+    should_stop: Arc<AtomicBool>,
 }
 
 impl Sink {
@@ -90,12 +92,12 @@
         let sink = Sink {
             address: socket.local_addr()?,
             received: Arc::default(),
-            stop: Arc::default(),
+            should_stop: Arc::default(),
         };
-        let (received, stop) = (sink.received.clone(), sink.stop.clone());
+        let (received, should_stop) = (sink.received.clone(), sink.should_stop.clone());
         thread::spawn(move || {
             let mut buffer = [0; 2_048];
-            while !stop.load(Ordering::Relaxed) {
+            while !should_stop.load(Ordering::Relaxed) {
                 if socket.recv(&mut buffer).is_ok() {
                     received.fetch_add(1, Ordering::Relaxed);
                 }
@@ -104,11 +106,12 @@
         Ok(sink)
     }
 
-    /// Sends packets to `port` as fast as it can and returns how many a second come out here.
-    fn rate_of(&self, port: SocketAddr, packets: &[Vec<u8>]) -> Result<f64> {
+    /// Sends packets to `destination` at full speed and returns the rate at which they arrive here,
+    /// per second.
+    fn measure_rate(&self, destination: SocketAddr, packets: &[Vec<u8>]) -> Result<f64> {
         let before = self.received.load(Ordering::Relaxed);
         let started = Instant::now();
-        flood(port, packets)?;
+        flood(destination, packets)?;
         let received = self.received.load(Ordering::Relaxed) - before;
         Ok(received as f64 / started.elapsed().as_secs_f64())
     }
@@ -116,39 +119,41 @@
 
 impl Drop for Sink {
     fn drop(&mut self) {
-        self.stop.store(true, Ordering::Relaxed);
+        self.should_stop.store(true, Ordering::Relaxed);
     }
 }
 
-/// Sends for the span from several threads, and ends.
-fn flood(port: SocketAddr, packets: &[Vec<u8>]) -> Result<()> {
+/// Sends packets from several threads for the duration of the span.
+fn flood(destination: SocketAddr, packets: &[Vec<u8>]) -> Result<()> {
     let outcome: Vec<Result<()>> = thread::scope(|scope| {
-        let part = packets.len().div_ceil(SENDERS);
-        let send = |packets| scope.spawn(move || send_all(port, packets));
-        let senders: Vec<_> = packets.chunks(part).map(send).collect();
-        let ended = senders.into_iter().map(|sender| sender.join());
-        ended
-            .map(|end| end.unwrap_or_else(|_| Err(Error::new(Code::Io, "a sender died"))))
+        let chunk_len = packets.len().div_ceil(SENDERS);
+        let send = |packets| scope.spawn(move || send_all(destination, packets));
+        let senders: Vec<_> = packets.chunks(chunk_len).map(send).collect();
+        let joined = senders.into_iter().map(|sender| sender.join());
+        joined
+            .map(|result| {
+                result.unwrap_or_else(|_| Err(Error::new(Code::Io, "a sender thread panicked")))
+            })
             .collect()
     });
     outcome.into_iter().collect()
 }
 
-fn send_all(port: SocketAddr, packets: &[Vec<u8>]) -> Result<()> {
+fn send_all(destination: SocketAddr, packets: &[Vec<u8>]) -> Result<()> {
     let socket = UdpSocket::bind("127.0.0.1:0")?;
-    let until = Instant::now() + SPAN;
+    let deadline = Instant::now() + SPAN;
     let mut datagram = vec![0; PACKET_BYTES];
     for packet in packets.iter().cycle() {
         datagram[..packet.len()].copy_from_slice(packet);
-        let _ = socket.send_to(&datagram, port);
-        if Instant::now() >= until {
+        let _ = socket.send_to(&datagram, destination);
+        if Instant::now() >= deadline {
             break;
         }
     }
     Ok(())
 }
 
-/// Measures a loop that receives and sends on the daemons' runtime and does nothing else.
+/// Returns the rate of a loop that only receives and sends datagrams, on the daemons' runtime.
 fn bare_rate(site: &Site, sink: &Sink) -> Result<f64> {
     let address = SocketAddr::from((site.unused_host(), 9));
     let to = sink.address;
@@ -169,16 +174,21 @@
             }
         })
     });
-    // An error of the thread drops its end of the channel, and the rate is then none.
+    // If the thread fails, it drops its end of the channel, and the measured rate is 0.
     let _ = wait.recv();
-    sink.rate_of(address, &opener_packets())
+    sink.measure_rate(address, &opener_packets())
 }
 
-fn opener_rate(runtime: &compio::runtime::Runtime, site: &Site, port: SocketAddr) -> Result<f64> {
+/// Returns the rate at which the balancer handles openers, by its metrics.
+fn opener_rate(
+    runtime: &compio::runtime::Runtime,
+    site: &Site,
+    destination: SocketAddr,
+) -> Result<f64> {
     let openers = || runtime.block_on(site.metric(site.balancer_host(0), "openers_total"));
     let before = openers()?;
     let started = Instant::now();
-    flood(port, &opener_packets())?;
+    flood(destination, &opener_packets())?;
     let elapsed_s = started.elapsed().as_secs_f64();
     Ok((openers()? - before) / elapsed_s)
 }
--- a/lab/src/experiments.rs
+++ b/lab/src/experiments.rs
@@ -1,4 +1,4 @@
-//! Prints the experiments as tables; the figures go into docs/MEASUREMENTS.md and docs/CAPACITY.md.
+//! Prints the results of experiments as tables, for docs/MEASUREMENTS.md and docs/CAPACITY.md.
 
 use endivedyke::{Code, Error, Result};
 use gumdrop::Options;
@@ -7,7 +7,8 @@
 use crate::runtime::block_on;
 use crate::{control_cost, datagram_rate, imbalance};
 
-/// Losses, dead daemons and cuts of the relay experiment.
+/// The cases of the relay experiment: the loss rate, the share of dead daemons, and whether the
+/// regions are partitioned.
 const RELAY_CASES: [(f64, f64, bool); 4] = [
     (0.0, 0.0, false),
     (0.05, 0.02, false),
@@ -15,7 +16,7 @@
     (0.02, 0.02, true),
 ];
 
-/// Which experiment, and with what.
+/// The name of an experiment and its parameters.
 #[derive(Debug, Options)]
 pub(crate) struct ExperimentOptions {
     #[options(help = "print this help and exit")]
@@ -32,7 +33,7 @@
     name: Vec<String>,
 }
 
-/// Runs the experiment that the options name.
+/// Runs the named experiment and prints its results.
 pub(crate) fn run(options: &ExperimentOptions) -> Result<()> {
     let names: Vec<&str> = options.name.iter().map(String::as_str).collect();
     match names.as_slice() {
@@ -61,7 +62,7 @@
     println!("|---|---|---|---|---|---|---|---|---|");
     for (targets, lifetime_s) in sizes {
         for row in imbalance::run(targets, lifetime_s, options.exchange_ms, options.seed) {
-            let percent = |part: f64| format!("{:.2} %", part * 100.0);
+            let percent = |share: f64| format!("{:.2} %", share * 100.0);
             println!(
                 "| {} | {} s | {} | {:?} | {} | {} | {} | {} | {} |",
                 row.targets,
@@ -94,23 +95,27 @@
             megabytes(memory)
         );
     }
-    let (rest, edited, edits) = block_on(control_cost::run())?;
+    let (idle, edited, edits) = block_on(control_cost::measure())?;
     println!("\n| span of 10 s | bytes/s a daemon | calls/s a daemon | cpu, ms/s a daemon |");
     println!("|---|---|---|---|");
     let spans = [
-        ("at rest".to_owned(), rest),
+        ("at rest".to_owned(), idle),
         (format!("{edits} edits"), edited),
     ];
     for (name, cost) in spans {
-        let each = |value: f64| value / cost.daemons / 10.0;
-        let (bytes, calls, cpu_ms) = (each(cost.bytes), each(cost.calls), each(cost.cpu_ms));
+        let per_daemon_s = |value: f64| value / cost.daemons / 10.0;
+        let (bytes, calls, cpu_ms) = (
+            per_daemon_s(cost.bytes),
+            per_daemon_s(cost.calls),
+            per_daemon_s(cost.cpu_ms),
+        );
         println!("| {name} | {bytes:.0} | {calls:.2} | {cpu_ms:.2} |");
     }
     Ok(())
 }
 
 fn print_datagrams() -> Result<()> {
-    let rates = datagram_rate::run()?;
+    let rates = datagram_rate::measure()?;
     println!(
         "bare receive-and-send loop: {:.0} datagrams/s",
         rates.bare_per_s
--- a/lab/src/fabric.rs
+++ b/lab/src/fabric.rs
@@ -1,7 +1,7 @@
-//! A stand-in for the fabric: sprays every datagram of a caller over the balancers at random.
+//! A stand-in for the fabric, which sprays each datagram of a caller to a random balancer.
 //!
-//! Each caller keeps an address of its own towards the balancers, as in a real fabric. Datagrams
-//! can be dropped, doubled and delayed on the way in, which also reorders them.
+//! Each caller has its own address towards the balancers, as in a real fabric. Datagrams to the
+//! balancers can be dropped, duplicated and delayed; delays also reorder them.
 
 use std::cell::{Cell, RefCell};
 use std::net::{IpAddr, SocketAddr};
@@ -20,11 +20,11 @@
 const BUFFER_BYTES: usize = 2_048;
 const MAX_DELAY_MS: u64 = 30;
 
-/// What the fabric does to datagrams, in thousandths of them.
+/// The probability of each fault, in thousandths of the datagrams.
 #[derive(Debug, Default)]
 struct Faults {
     drop_permille: Cell<u32>,
-    double_permille: Cell<u32>,
+    duplicate_permille: Cell<u32>,
     delay_permille: Cell<u32>,
 }
 
@@ -33,7 +33,8 @@
     faults: Faults,
 }
 
-/// Serves the service addresses forever; `/balancers` and `/faults` on `admin` change its ways.
+/// Serves the service addresses forever. The commands `/balancers` and `/faults` at the address
+/// `admin` set the balancers and the faults.
 pub(crate) async fn run(
     services: &[SocketAddr],
     balancers: Vec<IpAddr>,
@@ -50,8 +51,8 @@
     }
     let listener = TcpListener::bind(admin).await?;
     endivedyke::serve_http(listener, move |request| {
-        let done = fabric.order(request.uri().path());
-        let status = if done {
+        let is_valid = fabric.run_command(request.uri().path());
+        let status = if is_valid {
             StatusCode::OK
         } else {
             StatusCode::BAD_REQUEST
@@ -63,30 +64,33 @@
 }
 
 impl Fabric {
-    /// Obeys `/balancers/IP,IP` and `/faults/DROP/DOUBLE/DELAY`.
-    fn order(&self, path: &str) -> bool {
-        let words: Vec<&str> = path.trim_start_matches('/').split('/').collect();
-        match words.as_slice() {
+    /// Runs `/balancers/IP,IP` or `/faults/DROP/DUPLICATE/DELAY`, and returns whether the command is
+    /// valid. The faults are in thousandths.
+    fn run_command(&self, path: &str) -> bool {
+        let segments: Vec<&str> = path.trim_start_matches('/').split('/').collect();
+        match segments.as_slice() {
             ["balancers", list] => {
                 let list: std::result::Result<Vec<IpAddr>, _> =
                     list.split(',').map(str::parse).collect();
                 list.map(|list| *self.balancers.borrow_mut() = list).is_ok()
             }
-            ["faults", drop, double, delay] => {
+            ["faults", drop, duplicate, delay] => {
                 let set = |cell: &Cell<u32>, word: &str| word.parse().map(|n| cell.set(n)).is_ok();
                 set(&self.faults.drop_permille, drop)
-                    && set(&self.faults.double_permille, double)
+                    && set(&self.faults.duplicate_permille, duplicate)
                     && set(&self.faults.delay_permille, delay)
             }
             _ => false,
         }
     }
 
-    fn happens(permille: &Cell<u32>) -> bool {
+    /// Draws whether a fault occurs.
+    fn occurs(permille: &Cell<u32>) -> bool {
         permille.get() > 0 && rand::rng().random_range(0..1_000) < permille.get()
     }
 }
 
+/// Forwards datagrams from callers of a service to random balancers, forever.
 async fn spray(fabric: &Rc<Fabric>, service: &Rc<UdpSocket>) {
     let mut callers: Vec<(SocketAddr, Rc<UdpSocket>)> = Vec::new();
     let Ok(address) = service.local_addr() else {
@@ -103,31 +107,32 @@
         let index = match callers.binary_search_by_key(&caller, |(known, _)| *known) {
             Ok(index) => index,
             Err(index) => {
-                let Ok(socket) = caller_socket(service, caller, address).await else {
+                let Ok(socket) = open_caller_socket(service, caller, address).await else {
                     continue;
                 };
                 callers.insert(index, (caller, socket));
                 index
             }
         };
-        buffer = pass(fabric, &callers[index].1, address.port(), buffer).await;
+        buffer = forward(fabric, &callers[index].1, address.port(), buffer).await;
     }
 }
 
-/// Opens the address that stands for a caller, and hands answers to it back.
-async fn caller_socket(
+/// Opens the socket that represents a caller towards the balancers, and forwards replies to the
+/// caller.
+async fn open_caller_socket(
     service: &Rc<UdpSocket>,
     caller: SocketAddr,
     address: SocketAddr,
 ) -> Result<Rc<UdpSocket>> {
     let socket = Rc::new(UdpSocket::bind((address.ip(), 0)).await?);
-    let answers = socket.clone();
+    let replies = socket.clone();
     let service = service.clone();
     compio::runtime::spawn(async move {
         let mut buffer = Vec::with_capacity(BUFFER_BYTES);
         loop {
             buffer.clear();
-            let BufResult(result, received) = answers.recv_from(buffer).await;
+            let BufResult(result, received) = replies.recv_from(buffer).await;
             buffer = received;
             if result.is_ok() {
                 let BufResult(_, sent) = service.send_to(buffer, caller).await;
@@ -139,15 +144,16 @@
     Ok(socket)
 }
 
-async fn pass(fabric: &Fabric, socket: &Rc<UdpSocket>, port: u16, buffer: Vec<u8>) -> Vec<u8> {
-    if Fabric::happens(&fabric.faults.drop_permille) {
+/// Forwards a datagram to a random balancer, subject to the faults, and returns the buffer.
+async fn forward(fabric: &Fabric, socket: &Rc<UdpSocket>, port: u16, buffer: Vec<u8>) -> Vec<u8> {
+    if Fabric::occurs(&fabric.faults.drop_permille) {
         return buffer;
     }
-    if Fabric::happens(&fabric.faults.double_permille) {
-        send_later(fabric, socket, port, buffer.clone());
+    if Fabric::occurs(&fabric.faults.duplicate_permille) {
+        send_delayed(fabric, socket, port, buffer.clone());
     }
-    if Fabric::happens(&fabric.faults.delay_permille) {
-        send_later(fabric, socket, port, buffer.clone());
+    if Fabric::occurs(&fabric.faults.delay_permille) {
+        send_delayed(fabric, socket, port, buffer.clone());
         return buffer;
     }
     match random_balancer(fabric, port) {
@@ -159,7 +165,7 @@
     }
 }
 
-fn send_later(fabric: &Fabric, socket: &Rc<UdpSocket>, port: u16, packet: Vec<u8>) {
+fn send_delayed(fabric: &Fabric, socket: &Rc<UdpSocket>, port: u16, packet: Vec<u8>) {
     let delay = Duration::from_millis(rand::rng().random_range(0..=MAX_DELAY_MS));
     let Some(balancer) = random_balancer(fabric, port) else {
         return;
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,7 +1,7 @@
-//! Stand-ins for what surrounds endivedyke, and the tool that drives load and experiments.
+//! Stand-ins for the systems around endivedyke, and a tool for load tests and experiments.
 //!
-//! Each stand-in is a small process that speaks the published protocols of docs/PLATFORM.md and
-//! docs/CALLERS.md, and can misbehave on request. None of it is part of the product.
+//! Each stand-in is a small process that implements the protocols in docs/PLATFORM.md and
+//! docs/CALLERS.md, and can simulate failures on command. The product does not use this crate.
 
 mod backend_server;
 mod caller;
--- a/lab/src/load.rs
+++ b/lab/src/load.rs
@@ -1,4 +1,4 @@
-//! Load on a whole site of real processes, sampled each second.
+//! A load test of a site of real processes, which samples them each second.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 
 const SAMPLE_PERIOD: Duration = Duration::from_secs(1);
 
-/// What to run.
+/// The parameters of a load test.
 #[derive(Debug, Clone)]
 pub(crate) struct LoadPlan {
     pub(crate) deployment: Deployment,
@@ -22,14 +22,14 @@
     pub(crate) event: LoadEvent,
 }
 
-/// One of the users' deployments at today's sizes.
+/// One of the users' deployments, at its current size.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Deployment {
     Panelwerk,
     Jadepeak,
 }
 
-/// What happens in the middle of the run.
+/// An event in the middle of the run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum LoadEvent {
     None,
@@ -48,7 +48,10 @@
         match name {
             "panelwerk" => Ok(Deployment::Panelwerk),
             "jadepeak" => Ok(Deployment::Jadepeak),
-            _ => Err(Error::new(Code::Usage, "panelwerk or jadepeak")),
+            _ => Err(Error::new(
+                Code::Usage,
+                "unknown deployment; expected panelwerk or jadepeak",
+            )),
         }
     }
 }
@@ -67,8 +70,8 @@
             "silence-platform" => Ok(LoadEvent::SilencePlatform),
             _ => Err(Error::new(
                 Code::Usage,
-                "none, restart-balancer, kill-balancer, drain-agent, kill-agent, edit-weights or \
-                 silence-platform",
+                "unknown event; expected none, restart-balancer, kill-balancer, drain-agent, \
+                 kill-agent, edit-weights or silence-platform",
             )),
         }
     }
@@ -90,7 +93,7 @@
     }
 }
 
-/// What one process used in one second.
+/// The resources that one process used in one second.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct ProcessSample {
     pub(crate) second: u64,
@@ -101,7 +104,7 @@
     pub(crate) control_calls: u64,
 }
 
-/// What one target had at one second.
+/// The load of one target in one second.
 #[derive(Debug, Clone, Serialize)]
 pub(crate) struct TargetSample {
     pub(crate) second: u64,
@@ -110,17 +113,18 @@
     pub(crate) busy_ms: u64,
 }
 
-/// All that a run showed.
+/// The results of a load test.
 #[derive(Debug, Default, Serialize)]
 pub(crate) struct LoadReport {
     pub(crate) seconds: u64,
-    pub(crate) tally: CallerStats,
+    #[serde(rename = "tally")]
+    pub(crate) stats: CallerStats,
     pub(crate) processes: Vec<ProcessSample>,
     pub(crate) targets: Vec<TargetSample>,
     pub(crate) platform_calls: u64,
 }
 
-/// Runs the plan on the first service of the deployment.
+/// Runs a load test on the first service of the deployment.
 pub(crate) async fn run(plan: &LoadPlan) -> Result<LoadReport> {
     let mut site = plan.deployment.builder().start().await?;
     compio::time::sleep(Duration::from_millis(1_500)).await;
@@ -133,34 +137,38 @@
         seconds: plan.load.seconds,
         ..LoadReport::default()
     };
-    let mut before = snapshot(&site).await;
+    let mut before = take_snapshot(&site).await;
     for second in 0..plan.load.seconds {
         if second == plan.load.seconds / 2 {
-            cause(&mut site, plan.event).await?;
+            trigger_event(&mut site, plan.event).await?;
         }
         compio::time::sleep(SAMPLE_PERIOD).await;
-        let now = snapshot(&site).await;
+        let now = take_snapshot(&site).await;
         add_samples(&mut report, second, &before, &now);
         before = now;
     }
-    let mut tallies = Vec::new();
+    let mut stats = Vec::new();
     for callers in callers {
-        tallies.push(callers.finish(&site).await?);
+        stats.push(callers.finish(&site).await?);
     }
-    add_tallies(&mut report, &tallies);
+    add_stats(&mut report, &stats);
     site.platform_command("POST", "mode/normal", "").await?;
     report.platform_calls = platform_calls(&site).await? - calls_before;
     Ok(report)
 }
 
-/// Adds the counts up; each process has compared its claims with the whole journal, so a doubled
-/// claim shows in all of them.
-fn add_tallies(report: &mut LoadReport, tallies: &[CallerStats]) {
-    let doubled = tallies.iter().map(|tally| tally.doubled).max().unwrap_or(0);
-    for tally in tallies {
-        report.tally.add(tally);
+/// Adds up the counts of all processes of callers. `doubled` is the maximum instead, since each
+/// process compares with the claims of all of them and counts the same duplicates.
+fn add_stats(report: &mut LoadReport, all_stats: &[CallerStats]) {
+    let doubled = all_stats
+        .iter()
+        .map(|stats| stats.doubled)
+        .max()
+        .unwrap_or(0);
+    for stats in all_stats {
+        report.stats.add(stats);
     }
-    report.tally.doubled = doubled;
+    report.stats.doubled = doubled;
 }
 
 async fn platform_calls(site: &Site) -> Result<u64> {
@@ -168,7 +176,7 @@
     Ok(calls.trim().parse().unwrap_or(0))
 }
 
-async fn cause(site: &mut Site, event: LoadEvent) -> Result<()> {
+async fn trigger_event(site: &mut Site, event: LoadEvent) -> Result<()> {
     match event {
         LoadEvent::None => {}
         LoadEvent::RestartBalancer => {
@@ -205,7 +213,8 @@
     Ok(())
 }
 
-struct ProcessState {
+/// The cumulative usage of a process.
+struct ProcessUsage {
     name: String,
     cpu_ms: u64,
     memory_bytes: u64,
@@ -214,12 +223,13 @@
 }
 
 struct Snapshot {
-    processes: Vec<ProcessState>,
+    processes: Vec<ProcessUsage>,
+    /// The number of open flows and the cumulative busy time in milliseconds of each target.
     targets: Vec<(u64, u64)>,
 }
 
-/// Reads all processes; one that is gone counts as zero.
-async fn snapshot(site: &Site) -> Snapshot {
+/// Reads the usage of all processes; the usage of a process that has ended is 0.
+async fn take_snapshot(site: &Site) -> Snapshot {
     let mut processes = Vec::new();
     for (name, id, host) in site.processes() {
         let usage = proc_stat::usage(id).unwrap_or_default();
@@ -227,7 +237,7 @@
             Some(host) => control_traffic::read(site, host).await.unwrap_or_default(),
             None => ControlTraffic::default(),
         };
-        processes.push(ProcessState {
+        processes.push(ProcessUsage {
             name,
             cpu_ms: usage.cpu_ms,
             memory_bytes: usage.memory_bytes,
--- a/lab/src/load_report.rs
+++ b/lab/src/load_report.rs
@@ -1,4 +1,4 @@
-//! The report of a load run: figures to read, plots to look at, rows for programs.
+//! The report of a load test: a Markdown summary, plots, and the samples as JSON.
 
 use std::fs;
 use std::path::Path;
@@ -12,22 +12,23 @@
 
 use crate::load::{LoadReport, ProcessSample, TargetSample};
 
-const PLOT_SIZE: (u32, u32) = (900, 360);
+const PLOT_SIZE_PX: (u32, u32) = (900, 360);
 
-/// The figures that a run comes down to.
+/// The summary of a load test.
 #[derive(Debug, Default)]
-pub(crate) struct LoadFigures {
+pub(crate) struct LoadSummary {
     pub(crate) requests_per_s: f64,
+    /// Pairs of a percentile and its latency.
     pub(crate) latency_ms: Vec<(f64, f64)>,
     pub(crate) flow_imbalance: f64,
     pub(crate) busy_imbalance: f64,
 }
 
-/// Works the figures out.
-pub(crate) fn figures(report: &LoadReport) -> Result<LoadFigures> {
-    let mut histogram = Histogram::<u64>::new(3).map_err(failed)?;
-    for latency_us in &report.tally.latencies_us {
-        histogram.record(*latency_us).map_err(failed)?;
+/// Computes the summary of a report.
+pub(crate) fn summarize(report: &LoadReport) -> Result<LoadSummary> {
+    let mut histogram = Histogram::<u64>::new(3).map_err(io_error)?;
+    for latency_us in &report.stats.latencies_us {
+        histogram.record(*latency_us).map_err(io_error)?;
     }
     let percentiles = [50.0, 90.0, 99.0, 99.9];
     let latency = |percent| {
@@ -36,20 +37,20 @@
             histogram.value_at_percentile(percent) as f64 / 1_000.0,
         )
     };
-    Ok(LoadFigures {
-        requests_per_s: report.tally.answered as f64 / report.seconds.max(1) as f64,
+    Ok(LoadSummary {
+        requests_per_s: report.stats.answered as f64 / report.seconds.max(1) as f64,
         latency_ms: percentiles.map(latency).to_vec(),
         flow_imbalance: mean_flow_imbalance(report),
         busy_imbalance: busy_imbalance(report),
     })
 }
 
-fn failed(error: impl std::fmt::Display) -> Error {
+fn io_error(error: impl std::fmt::Display) -> Error {
     Error::new(Code::Io, error.to_string())
 }
 
-/// Returns the greatest of the values over their mean, less one.
-fn excess(values: &[f64]) -> f64 {
+/// Returns the imbalance of the values: their maximum divided by their mean, minus 1.
+fn imbalance(values: &[f64]) -> f64 {
     let mean = values.iter().sum::<f64>() / values.len().max(1) as f64;
     let greatest = values.iter().copied().fold(0.0, f64::max);
     if mean > 0.0 {
@@ -64,7 +65,8 @@
     numbers.max().unwrap_or(0)
 }
 
-fn of_second(report: &LoadReport, second: u64) -> Vec<&TargetSample> {
+/// Returns the samples of all targets in one second.
+fn targets_at(report: &LoadReport, second: u64) -> Vec<&TargetSample> {
     report
         .targets
         .iter()
@@ -72,23 +74,23 @@
         .collect()
 }
 
-/// Returns the mean over the second half of the run of the imbalance of open flows.
+/// Returns the mean imbalance of open flows over the second half of the run.
 fn mean_flow_imbalance(report: &LoadReport) -> f64 {
     let seconds = report.seconds / 2..report.seconds.saturating_sub(1);
     let count = seconds.clone().count().max(1) as f64;
-    let imbalance = |second| {
-        let flows = of_second(report, second);
-        excess(
+    let imbalance_at = |second| {
+        let flows = targets_at(report, second);
+        imbalance(
             &flows
                 .iter()
                 .map(|sample| sample.open_flows as f64)
                 .collect::<Vec<_>>(),
         )
     };
-    seconds.map(imbalance).sum::<f64>() / count
+    seconds.map(imbalance_at).sum::<f64>() / count
 }
 
-/// Returns the imbalance of the busy time of the last ten whole seconds.
+/// Returns the imbalance of busy time over the ten seconds before the last one.
 fn busy_imbalance(report: &LoadReport) -> f64 {
     let last = report.seconds.saturating_sub(1);
     let first = last.saturating_sub(10);
@@ -100,51 +102,51 @@
     {
         busy[sample.target] += sample.busy_ms as f64;
     }
-    excess(&busy)
+    imbalance(&busy)
 }
 
-/// Writes `report.md`, `rows.json` and the plots into `folder`.
+/// Writes `report.md`, `rows.json` and the plots into `folder`, and returns the text of `report.md`.
 pub(crate) fn write(report: &LoadReport, folder: &Path) -> Result<String> {
     fs::create_dir_all(folder)?;
-    let rows = serde_json::to_string(report).map_err(failed)?;
+    let rows = serde_json::to_string(report).map_err(io_error)?;
     fs::write(folder.join("rows.json"), rows)?;
     plot_flows(report, &folder.join("flows.svg"))?;
     plot_processes(report, &folder.join("cpu.svg"))?;
-    let text = text(report)?;
+    let text = markdown(report)?;
     fs::write(folder.join("report.md"), &text)?;
     Ok(text)
 }
 
-fn text(report: &LoadReport) -> Result<String> {
-    let figures = figures(report)?;
-    let tally = &report.tally;
+fn markdown(report: &LoadReport) -> Result<String> {
+    let summary = summarize(report)?;
+    let stats = &report.stats;
     let mut text = format!(
         "# Load report\n\n{} s, {:.0} requests/s answered\n\n\
          | requests | answered | refused tries | unknown | wrong | doubled | lost | flows | flows \
          broken | feeds broken |\n|---|---|---|---|---|---|---|---|---|---|\n\
          | {} | {} | {} | {} | {} | {} | {} | {} | {} | {} |\n\n",
         report.seconds,
-        figures.requests_per_s,
-        tally.requests,
-        tally.answered,
-        tally.refused,
-        tally.unknown,
-        tally.wrong,
-        tally.doubled,
-        tally.lost,
-        tally.flows,
-        tally.flows_broken,
-        tally.feeds_broken,
+        summary.requests_per_s,
+        stats.requests,
+        stats.answered,
+        stats.refused,
+        stats.unknown,
+        stats.wrong,
+        stats.doubled,
+        stats.lost,
+        stats.flows,
+        stats.flows_broken,
+        stats.feeds_broken,
     );
-    for (percent, ms) in &figures.latency_ms {
+    for (percent, ms) in &summary.latency_ms {
         text += &format!("latency p{percent}: {ms:.2} ms\n");
     }
     text += &format!(
         "\nimbalance of open flows, mean of the second half: {:.2} %\n\
          imbalance of busy slots, last 10 s: {:.2} %\n\
          calls to the configuration service: {}\n\n",
-        figures.flow_imbalance * 100.0,
-        figures.busy_imbalance * 100.0,
+        summary.flow_imbalance * 100.0,
+        summary.busy_imbalance * 100.0,
         report.platform_calls,
     );
     text +=
@@ -182,7 +184,7 @@
     )
 }
 
-/// One line of a plot.
+/// A line of a plot.
 struct Series {
     name: String,
     points: Vec<(f64, f64)>,
@@ -226,25 +228,25 @@
     };
     let right = points().map(|point| point.0).fold(1.0, f64::max);
     let top = points().map(|point| point.1).fold(1.0, f64::max) * 1.1;
-    let area = SVGBackend::new(path, PLOT_SIZE).into_drawing_area();
-    area.fill(&WHITE).map_err(failed)?;
+    let area = SVGBackend::new(path, PLOT_SIZE_PX).into_drawing_area();
+    area.fill(&WHITE).map_err(io_error)?;
     let mut chart = ChartBuilder::on(&area)
         .caption(title, ("sans-serif", 18).into_font())
         .margin(8)
         .x_label_area_size(30)
         .y_label_area_size(55)
         .build_cartesian_2d(0.0..right, 0.0..top)
-        .map_err(failed)?;
+        .map_err(io_error)?;
     chart
         .configure_mesh()
         .x_desc("seconds")
         .draw()
-        .map_err(failed)?;
+        .map_err(io_error)?;
     for (index, series) in series.iter().enumerate() {
         let color = Palette99::pick(index);
         chart
             .draw_series(LineSeries::new(series.points.iter().copied(), &color))
-            .map_err(failed)?
+            .map_err(io_error)?
             .label(&series.name)
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 14, y)], Palette99::pick(index)));
     }
@@ -252,6 +254,6 @@
         .configure_series_labels()
         .border_style(BLACK)
         .draw()
-        .map_err(failed)?;
-    area.present().map_err(failed)
+        .map_err(io_error)?;
+    area.present().map_err(io_error)
 }
--- a/lab/src/loopback_net.rs
+++ b/lab/src/loopback_net.rs
@@ -1,59 +1,61 @@
-//! A loopback network that one site has to itself.
+//! A loopback network that is reserved for one site.
 
 use std::net::{Ipv4Addr, TcpListener};
 
 use endivedyke::{Code, Error, Result};
 
-/// The port whose listener reserves a network; no program of a site uses it.
+/// The port of the listener that reserves a network; no program of a site uses it.
 const RESERVATION_PORT: u16 = 8_199;
-/// The last number of the address whose listener reserves a network.
-const RESERVATION_HOST: u8 = 2;
-/// How many networks are drawn before none is free.
-const DRAWS: usize = 100;
+/// The last octet of the address of the listener that reserves a network.
+const RESERVATION_LAST_OCTET: u8 = 2;
+/// The maximum number of networks that are tried.
+const MAX_ATTEMPTS: usize = 100;
 
-/// A network of 127.0.0.0/8 that no other site of this machine uses for as long as this is kept.
+/// A /24 network of 127.0.0.0/8 that is reserved against other sites on this machine until it is
+/// dropped.
 ///
-/// A listener holds it: one that is probed and let go may be drawn by two sites before either binds.
+/// A listener holds the reservation for the whole time. If it were closed after a check, two sites
+/// could choose the same network before either binds its ports.
 #[derive(Debug)]
 pub struct LoopbackNet {
-    net: (u8, u8),
+    octets: (u8, u8),
     _reservation: TcpListener,
 }
 
 impl LoopbackNet {
-    /// Draws a network that is free, and reserves it.
+    /// Reserves a random network that is free.
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where none of many is free.
+    /// Returns code 5001 if none of 100 random networks is free.
     pub fn reserve_random() -> Result<Self> {
-        let drawn = (0..DRAWS).find_map(|_| {
-            let net = (rand::random_range(16..=250), rand::random_range(0..=250));
-            Self::reserve(net).ok()
+        let reserved = (0..MAX_ATTEMPTS).find_map(|_| {
+            let octets = (rand::random_range(16..=250), rand::random_range(0..=250));
+            Self::reserve(octets).ok()
         });
-        drawn.ok_or_else(|| Error::new(Code::Io, "no free loopback network"))
+        reserved.ok_or_else(|| Error::new(Code::Io, "no free loopback network"))
     }
 
-    /// Reserves a network.
+    /// Reserves the network with these second and third octets.
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where a site has it.
-    pub fn reserve(net: (u8, u8)) -> Result<Self> {
-        let address = Ipv4Addr::new(127, net.0, net.1, RESERVATION_HOST);
+    /// Returns code 5001 if another site has reserved it.
+    pub fn reserve(octets: (u8, u8)) -> Result<Self> {
+        let address = Ipv4Addr::new(127, octets.0, octets.1, RESERVATION_LAST_OCTET);
         Ok(Self {
-            net,
+            octets,
             _reservation: TcpListener::bind((address, RESERVATION_PORT))?,
         })
     }
 
-    /// Returns an address of the network.
-    pub fn ip(&self, last: u8) -> Ipv4Addr {
-        Ipv4Addr::new(127, self.net.0, self.net.1, last)
+    /// Returns the address of the network with this last octet.
+    pub fn ip(&self, last_octet: u8) -> Ipv4Addr {
+        Ipv4Addr::new(127, self.octets.0, self.octets.1, last_octet)
     }
 
-    /// Returns the two numbers that name the network.
+    /// Returns the second and third octets of the network.
     pub fn octets(&self) -> (u8, u8) {
-        self.net
+        self.octets
     }
 }
--- a/lab/src/process.rs
+++ b/lab/src/process.rs
@@ -1,4 +1,4 @@
-//! Processes that the lab starts, and signals to them, always by their ids.
+//! The processes that the lab starts, and the signals that it sends to them by their ids.
 
 use std::path::PathBuf;
 use std::process::{Child, Command, Stdio};
@@ -7,14 +7,14 @@
 use endivedyke::{Code, Error, Result};
 use rustix::process::{Pid, Signal, kill_process};
 
-/// Returns the path of a program that was built beside this one.
+/// Returns the path of a program in the build folder of the current one.
 ///
 /// # Errors
 ///
-/// Returns code 5001 where it was not built; `cargo build --workspace` builds all.
+/// Returns code 5001 if the program is not built; `cargo build --workspace` builds all programs.
 pub fn binary_path(name: &str) -> Result<PathBuf> {
-    let own = std::env::current_exe()?;
-    let folders = own.ancestors().skip(1).take(2);
+    let current = std::env::current_exe()?;
+    let folders = current.ancestors().skip(1).take(2);
     let found = folders
         .map(|folder| folder.join(name))
         .find(|path| path.is_file());
@@ -22,27 +22,28 @@
     found.ok_or_else(|| Error::new(Code::Io, missing()))
 }
 
-/// A process that ends, if need be by a kill, when this is dropped.
+/// A child process, which is killed when this is dropped.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
 }
 
 impl Process {
-    /// Starts a program that was built beside this one; its standard output is not read.
+    /// Starts a program of the build folder without standard output.
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where it can't be started.
+    /// Returns code 5001 if it can't be started.
     pub fn start(program: &str, arguments: &[String]) -> Result<Process> {
         Self::spawn(program, arguments, Stdio::null())
     }
 
-    /// Starts such a program with a pipe as its standard output that nobody reads.
+    /// Starts a program of the build folder with a pipe as its standard output that is never read,
+    /// so that it fills.
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where it can't be started.
+    /// Returns code 5001 if it can't be started.
     pub fn start_with_unread_output(program: &str, arguments: &[String]) -> Result<Process> {
         Self::spawn(program, arguments, Stdio::piped())
     }
@@ -56,7 +57,7 @@
         Ok(Process { child })
     }
 
-    /// Returns the process's id.
+    /// Returns the process id.
     pub fn id(&self) -> u32 {
         self.child.id()
     }
@@ -68,66 +69,70 @@
         sent.map_err(|error| Error::new(Code::Io, error.to_string()))
     }
 
-    /// Asks the process to stop in good order.
+    /// Sends SIGTERM, upon which the process stops gracefully.
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where the process is gone.
+    /// Returns code 5001 if the process has ended.
     pub fn terminate(&self) -> Result<()> {
         self.signal(Signal::TERM)
     }
 
-    /// Kills the process as a crash would.
+    /// Kills the process with SIGKILL, like a crash.
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where the process is gone.
+    /// Returns code 5001 if the process has ended.
     pub fn kill(&mut self) -> Result<()> {
         self.child.kill()?;
         self.child.wait()?;
         Ok(())
     }
 
-    /// Tells the process that its settings have changed.
+    /// Sends SIGHUP, upon which the process reloads its settings.
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where the process is gone.
+    /// Returns code 5001 if the process has ended.
     pub fn reload(&self) -> Result<()> {
         self.signal(Signal::HUP)
     }
 
-    /// Freezes the process.
+    /// Freezes the process with SIGSTOP.
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where the process is gone.
+    /// Returns code 5001 if the process has ended.
     pub fn freeze(&self) -> Result<()> {
         self.signal(Signal::STOP)
     }
 
-    /// Lets a frozen process go on.
+    /// Resumes a frozen process with SIGCONT.
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where the process is gone.
+    /// Returns code 5001 if the process has ended.
     pub fn thaw(&self) -> Result<()> {
         self.signal(Signal::CONT)
     }
 
-    /// Waits for the end without blocking other tasks and tells whether it came in good order.
+    /// Waits until the process ends, without blocking other tasks, and returns whether it exited
+    /// with status 0.
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where it does not come within `timeout`.
+    /// Returns code 5001 if the process does not end within `timeout`.
     pub async fn wait(&mut self, timeout: Duration) -> Result<bool> {
-        let until = Instant::now() + timeout;
+        let deadline = Instant::now() + timeout;
         loop {
             if let Some(status) = self.child.try_wait()? {
                 return Ok(status.success());
             }
-            if Instant::now() >= until {
-                return Err(Error::new(Code::Io, "the process does not end"));
+            if Instant::now() >= deadline {
+                return Err(Error::new(
+                    Code::Io,
+                    "timed out waiting for the process to end",
+                ));
             }
             compio::time::sleep(Duration::from_millis(10)).await;
         }
@@ -136,7 +141,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // A process that has ended already can't be killed, which is what is wanted.
+        // Errors are ignored: `kill` fails if the process has already ended.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/lab/src/runtime.rs
+++ b/lab/src/runtime.rs
@@ -1,14 +1,14 @@
-//! Runs a future to its end on a runtime of its own.
+//! Runs futures from synchronous code.
 
 use std::future::Future;
 
 use endivedyke::Result;
 
-/// Runs a future to its end.
+/// Runs a future to completion on a new runtime.
 ///
 /// # Errors
 ///
-/// Returns code 5001 where the machine gives no runtime, and the future's own errors.
+/// Returns code 5001 if the runtime can't be created, and the errors of the future.
 pub(crate) fn block_on<T>(future: impl Future<Output = Result<T>>) -> Result<T> {
     compio::runtime::Runtime::new()?.block_on(future)
 }
--- a/lab/src/site.rs
+++ b/lab/src/site.rs
@@ -1,4 +1,4 @@
-//! A whole site on loopback: stand-ins, balancers and agents, each a process of its own.
+//! A complete site on a loopback network: stand-ins, balancers and agents, each in its own process.
 
 mod readiness;
 
@@ -16,9 +16,9 @@
 
 /// The TCP port of control links on every host.
 pub(crate) const CONTROL_PORT: u16 = 4_700;
-/// The UDP port of envelopes on every host.
+/// The UDP port on which daemons exchange enveloped datagrams on every host.
 pub(crate) const DATAGRAM_PORT: u16 = 4_701;
-/// The byte of which a site's cluster key is made.
+/// The value of each byte of a site's cluster key.
 pub(crate) const SITE_KEY_BYTE: u8 = 0x5a;
 /// The TCP port of `/metrics` on every host.
 pub(crate) const METRICS_PORT: u16 = 4_702;
@@ -27,9 +27,9 @@
 const FIRST_SERVICE_PORT: u16 = 7_000;
 const FIRST_BACKEND_PORT: u16 = 9_000;
 const READY_TIMEOUT: Duration = Duration::from_secs(60);
-const POLL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A service of the site.
+/// The parameters of a service.
 #[derive(Debug, Clone)]
 pub(crate) struct ServiceSpec {
     pub(crate) name: String,
@@ -39,7 +39,7 @@
     service_ms: u64,
 }
 
-/// Describes a site before it is started.
+/// The description of a site that [`SiteBuilder::start`] starts.
 #[derive(Debug, Clone)]
 pub struct SiteBuilder {
     pub(crate) balancers: usize,
@@ -49,7 +49,7 @@
 }
 
 impl SiteBuilder {
-    /// Describes a site with this many balancers and no service yet.
+    /// Creates the description of a site with this many balancers and no services.
     pub fn new(balancers: usize) -> Self {
         Self {
             balancers,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Adds a service whose targets stand on the first hosts.
+    /// Adds a service with its targets on the first `targets` backend server hosts.
     pub fn service(mut self, name: &str, targets: usize, slots: u32, service_ms: u64) -> Self {
         self.services.push(ServiceSpec {
             name: name.to_owned(),
@@ -71,7 +71,7 @@
         self
     }
 
-    /// Sets how many connections each target may have.
+    /// Sets the connection limit of each target of the services added so far.
     pub fn connections(mut self, connections: u32) -> Self {
         self.services
             .iter_mut()
@@ -79,11 +79,11 @@
         self
     }
 
-    /// Starts all processes and waits until they serve.
+    /// Starts all processes and waits until they are ready.
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where a process does not come up.
+    /// Returns code 5001 if a process does not start or is not ready in time.
     pub async fn start(self) -> Result<Site> {
         let mut site = Site {
             net: LoopbackNet::reserve_random()?,
@@ -100,7 +100,7 @@
     }
 }
 
-/// A running site; its processes end when it is dropped.
+/// A running site, whose processes are killed when it is dropped.
 #[derive(Debug)]
 pub struct Site {
     net: LoopbackNet,
@@ -114,8 +114,8 @@
 }
 
 impl Site {
-    fn ip(&self, last: usize) -> Ipv4Addr {
-        self.net.ip(last as u8)
+    fn ip(&self, last_octet: usize) -> Ipv4Addr {
+        self.net.ip(last_octet as u8)
     }
 
     /// Returns the address of the configuration service.
@@ -167,12 +167,12 @@
             .unwrap_or(0)
     }
 
-    /// Returns the settings file of a process for the operators' client.
+    /// Returns the path of a settings file for the operators' client.
     pub fn settings_file(&self) -> PathBuf {
         self.file("balancer-0.ini")
     }
 
-    /// Returns the path of a file of this site.
+    /// Returns the path of a file in the site's folder.
     pub fn file(&self, name: &str) -> PathBuf {
         self.folder.path().join(name)
     }
@@ -199,11 +199,11 @@
         self.wait_ready().await
     }
 
-    /// Starts the configuration service, empty as after a loss of all it had.
+    /// Starts the configuration service without any values, as after a loss of its data.
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where it does not come up.
+    /// Returns code 5001 if it does not start.
     pub async fn start_platform(&mut self) -> Result<()> {
         let address = self.platform_address().to_string();
         let arguments = ["config-service", "--address", &address].map(str::to_owned);
@@ -261,11 +261,11 @@
         Process::start(program, &arguments)
     }
 
-    /// Starts a balancer, for the first time or again.
+    /// Starts or restarts a balancer.
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where it can't be started.
+    /// Returns code 5001 if it can't be started.
     pub fn start_balancer(&mut self, index: usize) -> Result<()> {
         let host = self.balancer_host(index);
         let process = self.start_daemon("endivedyke-balancer", "balancer", host, index)?;
@@ -273,11 +273,11 @@
         Ok(())
     }
 
-    /// Starts an agent, for the first time or again.
+    /// Starts or restarts an agent.
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where it can't be started.
+    /// Returns code 5001 if it can't be started.
     pub fn start_agent(&mut self, index: usize) -> Result<()> {
         let host = self.agent_host(index);
         let process = self.start_daemon("endivedyke-agent", "agent", host, index)?;
@@ -285,17 +285,18 @@
         Ok(())
     }
 
-    /// Returns a balancer's process.
+    /// Returns the process of a balancer, or `None` before its first start.
     pub fn balancer(&mut self, index: usize) -> Option<&mut Process> {
         self.balancers[index].as_mut()
     }
 
-    /// Returns an agent's process.
+    /// Returns the process of an agent, or `None` before its first start.
     pub fn agent(&mut self, index: usize) -> Option<&mut Process> {
         self.agents[index].as_mut()
     }
 
-    /// Returns each process's name, id and, for a daemon, its host.
+    /// Returns the name and process id of each process other than backend servers, and the host of
+    /// each daemon.
     pub fn processes(&self) -> Vec<(String, u32, Option<Ipv4Addr>)> {
         let mut all = Vec::new();
         for (index, process) in self.balancers.iter().enumerate() {
@@ -328,11 +329,11 @@
         Ok(())
     }
 
-    /// Publishes a value and returns its revision.
+    /// Publishes a value at the configuration service and returns its revision.
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where the configuration service does not answer.
+    /// Returns code 5001 if the configuration service does not answer.
     pub async fn publish(&self, name: &str, text: &str) -> Result<u64> {
         let revision = self
             .platform_command("PUT", &format!("values/{name}"), text)
@@ -340,89 +341,96 @@
         revision
             .trim()
             .parse()
-            .map_err(|_| Error::new(Code::Io, format!("not a revision: {revision}")))
+            .map_err(|_| Error::new(Code::Io, format!("expected a revision, got {revision:?}")))
     }
 
-    /// Publishes new weights of a service and returns the revision.
+    /// Publishes the table of a service with new weights and returns its revision.
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where the configuration service does not answer.
+    /// Returns code 5001 if the configuration service does not answer.
     pub async fn set_weights(&self, service: usize, weights: &[u32]) -> Result<u64> {
         let name = format!("{TABLE_PREFIX}{}", self.spec.services[service].name);
         self.publish(&name, &self.table_text(service, weights))
             .await
     }
 
-    /// Gives the configuration service an order, such as `mode/silent`.
+    /// Sends an admin command to the configuration service, such as `mode/silent`, and returns the
+    /// body of the response.
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where it does not answer.
-    pub async fn platform_command(&self, method: &str, order: &str, body: &str) -> Result<String> {
-        let path = format!("/admin/{order}");
+    /// Returns code 5001 if it does not answer.
+    pub async fn platform_command(
+        &self,
+        method: &str,
+        command: &str,
+        body: &str,
+    ) -> Result<String> {
+        let path = format!("/admin/{command}");
         http_text::request_text(self.platform_address(), method, &path, body).await
     }
 
-    /// Gives the fabric an order, such as `faults/10/10/10`.
+    /// Sends an admin command to the fabric, such as `faults/10/10/10`.
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where it does not answer.
-    pub async fn fabric_command(&self, order: &str) -> Result<String> {
+    /// Returns code 5001 if it does not answer.
+    pub async fn fabric_command(&self, command: &str) -> Result<String> {
         http_text::request_text(
             self.fabric_admin_address(),
             "POST",
-            &format!("/{order}"),
+            &format!("/{command}"),
             "",
         )
         .await
     }
 
-    /// Gives a backend server an order, such as `mode/fail-fast`, or asks for `counts`.
+    /// Sends an admin command to a backend server, such as `mode/fail-fast` or `counts`, and returns
+    /// the body of the response.
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where it does not answer.
+    /// Returns code 5001 if it does not answer.
     pub async fn backend_command(
         &self,
         service: usize,
         host: usize,
-        order: &str,
+        command: &str,
     ) -> Result<String> {
         let address = self.backend_address(service, host);
-        http_text::request_text(address, "GET", &format!("/lab/{order}"), "").await
+        http_text::request_text(address, "GET", &format!("/lab/{command}"), "").await
     }
 
-    /// Returns all claims that the backend servers of a service ran.
+    /// Returns the ids of all claims that the backend servers of a service executed.
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where one does not answer.
+    /// Returns code 5001 if one does not answer.
     pub async fn executed_claims(&self, service: usize) -> Result<Vec<String>> {
-        let mut journal = Vec::new();
+        let mut executed = Vec::new();
         for host in 0..self.spec.services[service].targets {
             let claims = self.backend_command(service, host, "claims").await?;
-            journal.extend(claims.lines().map(str::to_owned));
+            executed.extend(claims.lines().map(str::to_owned));
         }
-        Ok(journal)
+        Ok(executed)
     }
 
-    /// Returns a metric of the process on `host`, or 0 where it has none of that name.
+    /// Returns the value of a metric of the daemon on `host`, or 0 if it has no such metric.
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where the process does not answer.
+    /// Returns code 5001 if the process does not answer.
     pub async fn metric(&self, host: Ipv4Addr, name: &str) -> Result<f64> {
         let [value] = self.metrics(host, [name]).await?;
         Ok(value)
     }
 
-    /// Returns several metrics of the process on `host` from one reading.
+    /// Returns the values of several metrics of the daemon on `host` from one response.
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where the process does not answer.
+    /// Returns code 5001 if the process does not answer.
     pub async fn metrics<const N: usize>(
         &self,
         host: Ipv4Addr,
@@ -440,11 +448,11 @@
         balancers.chain(agents).collect()
     }
 
-    /// Waits until every daemon takes the packets of its services.
+    /// Waits until every daemon has opened all of its services.
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where that takes too long.
+    /// Returns code 5001 if that takes too long.
     pub async fn wait_ready(&self) -> Result<()> {
         self.wait_until("the daemons", async |site| {
             for (index, host) in site.daemon_hosts().into_iter().enumerate() {
@@ -468,11 +476,11 @@
             .count()
     }
 
-    /// Waits until the daemons on `hosts` have a revision in force.
+    /// Waits until the daemons on `hosts` have this or a later revision in force.
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where that takes too long.
+    /// Returns code 5001 if that takes too long.
     pub async fn wait_revision(&self, hosts: &[Ipv4Addr], revision: u64) -> Result<()> {
         self.wait_until("the revision", async |site| {
             for host in hosts {
@@ -486,7 +494,7 @@
         .await
     }
 
-    /// Returns the log of a daemon, such as `agent-0`.
+    /// Returns the log of a daemon, such as `agent-0`, or an empty string if it has none.
     pub fn log(&self, daemon: &str) -> String {
         let path: &Path = &self.file(&format!("{daemon}.ini.log"));
         fs::read_to_string(path).unwrap_or_default()
--- a/lab/src/site/readiness.rs
+++ b/lab/src/site/readiness.rs
@@ -1,13 +1,14 @@
-//! Waits for the processes of a site.
+//! Waits until processes of a site are ready, or until another condition holds.
 
 use std::time::Instant;
 
 use endivedyke::{Code, Error, Result};
 
-use crate::site::{POLL, READY_TIMEOUT, Site};
+use crate::site::{POLL_INTERVAL, READY_TIMEOUT, Site};
 
 impl Site {
-    /// Waits until each backend server takes orders, which daemons do not need in order to be ready.
+    /// Waits until each backend server answers commands. Daemons become ready without their backend
+    /// servers, so that [`Site::wait_ready`] does not imply it.
     pub(super) async fn wait_backends_ready(&self) -> Result<()> {
         for service in 0..self.spec.services.len() {
             for host in 0..self.spec.services[service].targets {
@@ -20,18 +21,25 @@
         Ok(())
     }
 
-    /// Waits until a condition holds.
+    /// Polls a condition until it holds.
     ///
     /// # Errors
     ///
-    /// Returns code 5001, naming `what`, where that takes too long.
-    pub async fn wait_until(&self, what: &str, holds: impl AsyncFn(&Site) -> bool) -> Result<()> {
-        let until = Instant::now() + READY_TIMEOUT;
-        while !holds(self).await {
-            if Instant::now() >= until {
-                return Err(Error::new(Code::Io, format!("{what}: not in time")));
+    /// Returns code 5001 with the name `what` if the condition does not hold in time.
+    pub async fn wait_until(
+        &self,
+        what: &str,
+        condition: impl AsyncFn(&Site) -> bool,
+    ) -> Result<()> {
+        let deadline = Instant::now() + READY_TIMEOUT;
+        while !condition(self).await {
+            if Instant::now() >= deadline {
+                return Err(Error::new(
+                    Code::Io,
+                    format!("timed out waiting for {what}"),
+                ));
             }
-            compio::time::sleep(POLL).await;
+            compio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
--- a/lab/src/site_files.rs
+++ b/lab/src/site_files.rs
@@ -1,4 +1,4 @@
-//! What a site writes for its processes: settings, certificate, host list and tables.
+//! The files and values of a site's processes: settings, certificate, host list and tables.
 
 use std::fs;
 use std::net::Ipv4Addr;
@@ -9,16 +9,16 @@
 use crate::site::{CONTROL_PORT, DATAGRAM_PORT, METRICS_PORT, SITE_KEY_BYTE, Site};
 
 impl Site {
-    /// Writes the certificate that agents show to callers.
+    /// Writes the certificate that agents present to callers, and its key.
     pub(crate) fn write_certificate(&self) -> Result<()> {
-        let made = rcgen::generate_simple_self_signed(vec!["localhost".to_owned()]);
-        let made = made.map_err(|error| Error::new(Code::Io, error.to_string()))?;
-        fs::write(self.file("certificate.pem"), made.cert.pem())?;
-        fs::write(self.file("key.pem"), made.signing_key.serialize_pem())?;
+        let certified = rcgen::generate_simple_self_signed(vec!["localhost".to_owned()]);
+        let certified = certified.map_err(|error| Error::new(Code::Io, error.to_string()))?;
+        fs::write(self.file("certificate.pem"), certified.cert.pem())?;
+        fs::write(self.file("key.pem"), certified.signing_key.serialize_pem())?;
         Ok(())
     }
 
-    /// Writes the settings of a daemon.
+    /// Writes the settings file of a daemon and returns its path.
     pub(crate) fn write_settings(&self, name: &str, host: Ipv4Addr, zone: &str) -> Result<PathBuf> {
         let path = self.file(name);
         let text = format!(
@@ -41,7 +41,7 @@
         Ok(path)
     }
 
-    /// Returns the host list as the platform publishes it.
+    /// Returns the text of the host list, with the state `leaving` for the hosts in `leaving`.
     pub fn host_list_text(&self, leaving: &[Ipv4Addr]) -> String {
         let zone = |index: usize| &self.spec.zones[index % self.spec.zones.len()];
         let state = |host| {
@@ -57,7 +57,8 @@
         format!("{HOSTS_HEADER}\n") + &entries.chain(backends).collect::<String>()
     }
 
-    /// Returns a service's table with these weights, one a target; targets beyond them get none.
+    /// Returns the text of a service's table with one row for each weight. Targets without a weight
+    /// are not in the table.
     pub fn table_text(&self, service: usize, weights: &[u32]) -> String {
         let spec = &self.spec.services[service];
         let mut text = format!("{TABLE_HEADER}\n");
