--- a/src/quic/health.rs
+++ b/src/quic/health.rs
@@ -5,7 +5,7 @@
 
 /// The weight of the newest outcome in the failure rate.
 const NEWEST_WEIGHT: f64 = 0.1;
-/// The failure rate from which on a target's share is zero.
+/// The failure rate at and above which a target's share is zero.
 const FAILING_RATE: f64 = 0.5;
 /// The failure rate up to which a target keeps its full share.
 const TOLERATED_RATE: f64 = 0.1;
@@ -18,7 +18,7 @@
 /// A server that fails fast also frees its slots fast, so that by load alone it would attract the
 /// requests of all others. Its share therefore falls as its failure rate rises. The rate falls only
 /// when requests succeed; while the share is zero, one request is let through as a probe each
-/// [`PROBE_INTERVAL_MS`].
+/// `PROBE_INTERVAL_MS`.
 #[derive(Debug, Default)]
 pub struct Health {
     failure_rate: f64,
