--- a/tests/codes.rs
+++ b/tests/codes.rs
@@ -1,4 +1,4 @@
-//! The table of codes in the docs is the table in the code.
+//! The table of codes in docs/CODES.md matches the codes in the source.
 
 use endivedyke::Code;
 
@@ -12,12 +12,12 @@
     let docs = include_str!("../docs/CODES.md");
     assert!(
         docs.contains(&rows),
-        "docs/CODES.md should hold these rows:\n{rows}"
+        "docs/CODES.md should contain these rows:\n{rows}"
     );
 }
 
 #[test]
-fn numbers_are_distinct_and_found_again() {
+fn numbers_are_distinct_and_map_back_to_their_codes() {
     for pair in Code::ALL.windows(2) {
         assert!(pair[0].number() < pair[1].number());
     }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the decision core share.
+//! Helpers shared by the tests.
 #![allow(dead_code, unreachable_pub)]
 
 use std::net::Ipv4Addr;
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -1,17 +1,17 @@
-//! From the id of a failed request to its cause.
+//! The explanation of a failed request from the log lines about its id or its flow.
 
 use endivedyke::{Code, explain, parse_log};
 
 const FLOW: &str = "100.64.0.7:1027>198.18.0.1:443";
 
-/// Log lines of processes under construction.
+/// Builds the log files of several processes.
 #[derive(Default)]
 struct Logs {
     files: Vec<(String, String)>,
 }
 
 impl Logs {
-    /// Adds lines to the log of a process, each a time and what follows it.
+    /// Adds the log of a process, with the time and the text of each line.
     fn process(mut self, host: &str, lines: &[(u64, &str)]) -> Self {
         let mut text = format!("time_ms=1 level=INFO part=daemon event=start host={host}\n");
         for (time_ms, line) in lines {
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_story_begins_with_its_cause() {
+fn an_explanation_begins_with_the_cause() {
     let taken = format!("event=opener_taken flow={FLOW} copy=0");
     let lost = format!("event=request_lost request=r-1 flow={FLOW} reason=backend_ended");
     let closed = format!("event=request_lost request=r-1 flow={FLOW} waited_ms=3 reason=closed");
@@ -54,7 +54,7 @@
     ];
     for (line, cause) in cases {
         let logs = Logs::default().process("10.0.0.1", &[(5_000, &taken), (5_300, line)]);
-        let text = explain(FLOW, &logs.files).expect("a story");
+        let text = explain(FLOW, &logs.files).expect("an explanation");
         let first = text.lines().next().expect("a line");
         assert!(first.contains(cause), "{line}: {first}");
         assert!(first.contains("10.0.0.1"), "{first}");
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_request_is_followed_over_its_processes() {
+fn a_request_is_followed_across_processes() {
     let logs = Logs::default()
         .process(
             "10.0.0.1",
@@ -97,7 +97,7 @@
             "10.0.0.3",
             &[(5_200, "event=platform_fails error=elsewhere")],
         );
-    let text = explain("r-1", &logs.files).expect("a story");
+    let text = explain("r-1", &logs.files).expect("an explanation");
     for part in [
         "Crowded",
         "hops=1",
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_flow_that_came_before_a_configuration_is_explained() {
+fn a_flow_that_arrived_before_a_configuration_is_explained() {
     let logs = Logs::default().process(
         "10.0.0.1",
         &[
@@ -121,7 +121,7 @@
             (4_400, "event=waiting_for_configuration retry_ms=200"),
         ],
     );
-    let text = explain(FLOW, &logs.files).expect("a story");
+    let text = explain(FLOW, &logs.files).expect("an explanation");
     for part in [
         "its balancer had no configuration",
         "the platform gave it none (10.0.0.1)",
@@ -131,25 +131,25 @@
 }
 
 #[test]
-fn an_entry_of_another_program_and_a_decline_are_explained() {
+fn an_unusable_entry_and_a_declined_opener_are_explained() {
     let unusable = r#"event=entry_unusable id="i-1" revision=9 code=2403 reason=malformed"#;
     let declined = format!("event=opener_declined flow={FLOW} load_permille=400 mean_permille=200");
     let logs = Logs::default().process("10.0.0.1", &[(4_900, unusable), (5_000, &declined)]);
-    let text = explain(FLOW, &logs.files).expect("a story");
+    let text = explain(FLOW, &logs.files).expect("an explanation");
     for part in ["more to do than others", "named no backend server to use"] {
         assert!(text.contains(part), "{part}: {text}");
     }
 }
 
 #[test]
-fn nothing_about_an_id_is_an_error_with_its_code() {
+fn an_id_without_log_lines_is_an_error_with_its_code() {
     let logs = Logs::default().process("10.0.0.1", &[(1, "event=ready revision=3")]);
     let error = explain("r-9", &logs.files).expect_err("no line");
     assert_eq!(error.code, Code::LogSilent);
 }
 
 #[test]
-fn names_before_lines_and_words_in_errors_are_read() {
+fn process_names_before_lines_and_spaces_in_errors_are_parsed() {
     let text = " 35.8 edge-a-1 time_ms=7 level=WARN part=x event=platform_fails read=Whole error=E5002 no answer in 4 ms\nnoise\n";
     let lines = parse_log("file", text);
     assert_eq!(lines.len(), 1);
--- a/tests/ledger.rs
+++ b/tests/ledger.rs
@@ -1,4 +1,5 @@
-//! A request that must not be repeated runs at most once; a model that counts all runs checks it.
+//! A request that must not be repeated runs at most once, and its recorded outcome is final. A test
+//! with random events counts all runs.
 
 use bytes::Bytes;
 use endivedyke::{BeginOutcome, Code, KeptAnswer, Ledger, MAX_KEPT_ANSWER_BYTES, MAX_KEPT_BYTES};
--- a/tests/log_budget.rs
+++ b/tests/log_budget.rs
@@ -1,19 +1,19 @@
-//! How many log lines a process writes.
+//! The limit on the log lines of a process, and the count of the lines above it.
 
 use endivedyke::{LogBudget, explain, format_dropped_count, parse_log};
 
 #[test]
-fn a_flood_is_cut_to_the_budget_and_counted() {
+fn lines_above_the_budget_are_dropped_and_counted() {
     let mut budget = LogBudget::new(0);
     let written = (0..10_000).filter(|_| budget.try_take(false, 0)).count();
     assert!((300..=500).contains(&written), "{written}");
-    assert_eq!(budget.take_dropped(999), 0, "told once a second");
+    assert_eq!(budget.take_dropped(999), 0, "reported once a second");
     assert_eq!(budget.take_dropped(1_000), 10_000 - written as u64);
     assert_eq!(budget.take_dropped(2_000), 0);
 }
 
 #[test]
-fn warnings_get_through_a_flood_and_time_refills_the_budget() {
+fn warnings_have_a_reserve_and_the_budget_refills_over_time() {
     let mut budget = LogBudget::new(0);
     while budget.try_take(false, 0) {}
     assert!(budget.try_take(true, 0));
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn what_was_dropped_is_told_in_a_line_like_any_other() {
+fn the_count_of_dropped_lines_is_a_log_line_like_any_other() {
     let text = format_dropped_count(27, 1_700_000_000_123);
     let lines = parse_log("10.0.0.1", &text);
     assert_eq!(lines.len(), 1, "{text}");
@@ -34,12 +34,15 @@
 }
 
 #[test]
-fn an_explanation_says_that_lines_are_missing() {
+fn an_explanation_states_that_lines_are_missing() {
     let flow = "100.64.0.7:1027>198.18.0.1:443";
     let lost = format!(
         "time_ms=5200 level=WARN part=x event=request_lost request=r-1 flow={flow} reason=closed"
     );
     let text = format!("{}\n{lost}\n", format_dropped_count(27, 5_150));
-    let story = explain(flow, &[("10.0.0.1".to_owned(), text)]).expect("a story");
-    assert!(story.contains("lines are missing there"), "{story}");
+    let explanation = explain(flow, &[("10.0.0.1".to_owned(), text)]).expect("an explanation");
+    assert!(
+        explanation.contains("lines are missing there"),
+        "{explanation}"
+    );
 }
--- a/tests/offers.rs
+++ b/tests/offers.rs
@@ -146,7 +146,7 @@
     assert!(waits.mean_wait_ms(true, 1_000) > 95.0);
     assert!(
         waits.mean_wait_ms(true, 1_400) < 30.0,
-        "the rush may be over"
+        "the load peak may be over"
     );
     assert!(
         waits.mean_wait_ms(false, 1_000) < 1.0,
--- a/tests/opaque/backend_process.rs
+++ b/tests/opaque/backend_process.rs
@@ -46,7 +46,10 @@
     let mut message = Message::new(MessageKind::HandOn);
     message.hops = 2;
     let actions = agent.deliver_message(host(2), message, &opener(&flow(160), 0));
-    assert!(reaches_backend(&actions), "the other agents were no better");
+    assert!(
+        reaches_backend(&actions),
+        "two other agents have handed it on"
+    );
     for port in 200..220 {
         agent.now_ms += 250;
         open_and_end_request(&mut agent, port, true);
--- a/tests/opaque/batch_diff.rs
+++ b/tests/opaque/batch_diff.rs
@@ -21,10 +21,10 @@
 }
 
 fn batch(is_whole: bool, states: &[(u64, bool)]) -> Batch {
-    let value = |&(revision, is_there): &(u64, bool)| PublishedValue {
+    let value = |&(revision, is_present): &(u64, bool)| PublishedValue {
         name: NAME.to_owned(),
         stamp: revision.into(),
-        text: is_there.then(ready),
+        text: is_present.then(ready),
     };
     Batch {
         revision: 30.into(),
--- a/tests/opaque/builder.rs
+++ b/tests/opaque/builder.rs
@@ -1,4 +1,5 @@
-//! A small site of hosts 10.0.0.1, 10.0.0.2, … with one backend server each.
+//! A test site of hosts 10.0.0.1, 10.0.0.2, … with one backend server each: its directory, its agents,
+//! the packets of its flows, and helpers that read the actions of processes.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -10,19 +11,19 @@
 };
 use endivedyke::{Code, Error, Result, Revision, ServiceId, Suspicion};
 
-/// The service of the site.
+/// The service of all backend servers of the site.
 pub(crate) const SERVICE: &str = "queue-desk";
-/// The address that callers call.
+/// The service address to which callers send.
 pub(crate) const CALLED: &str = "192.0.2.1:443";
-/// The longest life of a flow, in milliseconds.
+/// The maximum lifetime of a flow, in milliseconds.
 pub(crate) const FLOW_LIFETIME_MS: u64 = 60_000;
-/// The balancer through which packets come in.
+/// The balancer that gets the packets of callers.
 pub(crate) const BALANCER: Ipv4Addr = Ipv4Addr::new(10, 9, 0, 1);
-
-/// The availability zone of that balancer, and of every backend server of the site.
+/// The availability zone of the balancer and of every backend server of the site.
 pub(crate) const ZONE: &str = "zone-a";
 
-/// A form of packets of the tests' own: flags, a mark, two numbers, two ends, data.
+/// The packet format of these tests: flags, mark, sequence number, acknowledgement, source, destination
+/// and data.
 pub(crate) const WIRE: WireFormat = WireFormat {
     decode,
     set_mark,
@@ -33,7 +34,7 @@
 };
 
 const HEADER_BYTES: usize = 25;
-/// The first byte of the data of an answer that refuses a request.
+/// The first data byte of an answer that refuses a request with status 503.
 const REFUSAL_BYTE: u8 = 0x35;
 
 fn status(packet: &[u8]) -> Option<u16> {
@@ -83,12 +84,13 @@
     packet(key.called, key.caller, spec)
 }
 
+/// Returns the address of the host with an index.
 pub(crate) fn host(index: u16) -> Ipv4Addr {
     let [high, low] = index.to_be_bytes();
     Ipv4Addr::new(10, 0, high, low)
 }
 
-/// Returns the index of a host.
+/// Returns the index of the host with an address.
 pub(crate) fn index_of(host: Ipv4Addr) -> u16 {
     let [_, _, high, low] = host.octets();
     u16::from_be_bytes([high, low])
@@ -98,7 +100,7 @@
     SocketAddrV4::new(host(index), 8_000)
 }
 
-/// Returns the flow of a caller's port.
+/// Returns the flow from a port of the default caller.
 pub(crate) fn flow(port: u16) -> FlowKey {
     FlowKey {
         caller: SocketAddrV4::new(Ipv4Addr::new(100, 64, 0, 7), port),
@@ -106,7 +108,7 @@
     }
 }
 
-/// Returns the flow of a port of another caller.
+/// Returns the flow from a port of another caller.
 pub(crate) fn flow_from(caller: Ipv4Addr, port: u16) -> FlowKey {
     FlowKey {
         caller: SocketAddrV4::new(caller, port),
@@ -114,7 +116,7 @@
     }
 }
 
-/// What a packet of a caller is.
+/// The header fields and data length of a packet.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct PacketSpec {
     pub(crate) flags: u8,
@@ -151,7 +153,7 @@
     packet(key.called, key.caller, spec)
 }
 
-/// Returns one copy of an opener.
+/// Returns a copy of an opener; the first one has number 0.
 pub(crate) fn opener(key: &FlowKey, copy: u32) -> Vec<u8> {
     let spec = PacketSpec {
         flags: SYN,
@@ -162,7 +164,7 @@
     from_caller(key, spec)
 }
 
-/// Returns a request whose sender acknowledges a backend server's number.
+/// Returns a request that acknowledges a sequence number of the backend server.
 pub(crate) fn request(key: &FlowKey, acknowledgement: u32) -> Vec<u8> {
     let spec = PacketSpec {
         flags: ACK,
@@ -184,34 +186,35 @@
     from_backend(key, spec)
 }
 
-/// Returns a packet with data of a backend server as one that refuses a request.
+/// Turns a backend server's packet with data into a refusal of a request.
 pub(crate) fn refusal(mut packet: Vec<u8>) -> Vec<u8> {
     packet[HEADER_BYTES] = REFUSAL_BYTE;
     packet
 }
 
-/// Returns a packet as a backend server hands it back.
+/// Returns a packet in the form in which a backend server returns it if it doesn't hold the flow.
 pub(crate) fn returned_packet(mut packet: Vec<u8>) -> Vec<u8> {
     packet[0] |= RETURNED;
     packet
 }
 
+/// Returns the entry text of a backend server in a state.
 pub(crate) fn entry_text(index: u16, state: BackendState) -> String {
     entry_text_in(ZONE, index, state)
 }
 
-/// The same in another availability zone.
+/// Returns the entry text of a backend server in an availability zone and a state.
 pub(crate) fn entry_text_in(zone: &str, index: u16, state: BackendState) -> String {
     let address = backend_address(index).to_string();
     backend_text(SERVICE, &address, zone, 4, state)
 }
 
-/// Returns the text of a ready backend server that tells its start.
+/// Returns the entry text of a ready backend server with its start time.
 pub(crate) fn started_entry_text(index: u16, started_unix_ms: u64) -> String {
     started_backend_text(&entry_text(index, BackendState::Ready), started_unix_ms)
 }
 
-/// Publishes that an entry names no backend server to use.
+/// Publishes a malformed entry, as if another program had overwritten it.
 pub(crate) fn overwrite_entry(directory: &mut Directory, index: u16, revision: u64, now_ms: u64) {
     let id = format!("i-{index}");
     let change = BackendChange {
@@ -222,6 +225,7 @@
     directory.apply_backends(vec![change], now_ms);
 }
 
+/// Publishes an entry text of a backend server.
 pub(crate) fn publish(
     directory: &mut Directory,
     index: u16,
@@ -233,6 +237,7 @@
     directory.apply_backend(&format!("i-{index}"), backend, revision, now_ms);
 }
 
+/// Publishes the removal of a backend server's entry.
 pub(crate) fn remove_entry(
     directory: &mut Directory,
     index: u16,
@@ -263,6 +268,7 @@
     directory
 }
 
+/// Returns the packet forwarder of a balancer that has just started.
 pub(crate) fn forwarder() -> Forwarder {
     Forwarder::new(
         WIRE,
@@ -273,7 +279,7 @@
     )
 }
 
-/// Returns who the agent on a host is.
+/// Returns the identity of the agent on a host.
 pub(crate) fn identity(index: u16) -> AgentIdentity {
     AgentIdentity {
         host: host(index),
@@ -283,12 +289,12 @@
     }
 }
 
-/// Returns an agent that knows all flows.
+/// Returns an agent that is older than all flows of its backend server.
 pub(crate) fn flow_agent(identity: AgentIdentity) -> FlowAgent {
     FlowAgent::new(WIRE, identity, true, &OpaqueMetrics::default())
 }
 
-/// The agents of a whole site, which all know the same and know all flows.
+/// The agents of a whole site. They share one directory and know all flows of their backend servers.
 pub(crate) struct Agents {
     pub(crate) directory: Directory,
     pub(crate) suspicion: Suspicion,
@@ -310,7 +316,7 @@
         self.flow_agents.len() as u16
     }
 
-    /// Lets the agent on a host decide.
+    /// Calls a method of the agent on a host.
     pub(crate) fn with_agent<T>(
         &mut self,
         at: Ipv4Addr,
@@ -330,13 +336,13 @@
         )
     }
 
-    /// Replaces every agent by one that has just started.
+    /// Replaces every agent with a new one.
     pub(crate) fn restart(&mut self) {
         self.flow_agents = Self::new(self.count()).flow_agents;
     }
 }
 
-/// An agent with what it sees.
+/// An agent and the context of its decisions.
 pub(crate) struct AgentUnderTest {
     pub(crate) flow_agent: FlowAgent,
     pub(crate) directory: Directory,
@@ -368,7 +374,7 @@
         identity(1)
     }
 
-    /// Hands over a packet of the backend server on a flow that was never seen.
+    /// Delivers a packet without data from the backend server, which shows that it holds the flow.
     pub(crate) fn acknowledge_from_backend(&mut self, key: &FlowKey) {
         let spec = PacketSpec {
             flags: ACK,
@@ -388,7 +394,7 @@
         decide(&mut self.flow_agent, &context)
     }
 
-    /// Hands over a datagram of another process.
+    /// Delivers a message from another process.
     pub(crate) fn deliver_message(
         &mut self,
         from: Ipv4Addr,
@@ -401,14 +407,14 @@
         .expect("sound packet")
     }
 
-    /// Hands over a packet that a balancer forwarded.
+    /// Delivers a packet that a balancer forwarded.
     pub(crate) fn deliver(&mut self, packet: &[u8]) -> Vec<Action> {
         let mut message = Message::new(MessageKind::Deliver);
         message.host = BALANCER;
         self.deliver_message(BALANCER, message, packet)
     }
 
-    /// Hands over an opener whose caller has waited in attempts that failed.
+    /// Delivers an opener whose caller has already waited in failed attempts.
     pub(crate) fn deliver_retry(&mut self, packet: &[u8], waited_ms: u16) -> Vec<Action> {
         let mut message = Message::new(MessageKind::Deliver);
         message.host = BALANCER;
@@ -416,7 +422,7 @@
         self.deliver_message(BALANCER, message, packet)
     }
 
-    /// Hands over the word of another agent about a flow.
+    /// Delivers another agent's answer to a lookup of a flow.
     pub(crate) fn deliver_answer(
         &mut self,
         kind: MessageKind,
@@ -426,7 +432,7 @@
         self.deliver_answer_at(kind, from, key, self.revision)
     }
 
-    /// The same from an agent that knows another revision.
+    /// Delivers another agent's answer to a lookup of a flow, with the revision that this agent holds.
     pub(crate) fn deliver_answer_at(
         &mut self,
         kind: MessageKind,
@@ -444,13 +450,13 @@
         self.deliver_message(from, message, &payload)
     }
 
-    /// Hands over a packet of the backend server.
+    /// Delivers a packet from the backend server.
     pub(crate) fn deliver_from_backend(&mut self, packet: Vec<u8>) -> Vec<Action> {
         self.with_agent(|agent, context| agent.handle_backend_packet(context, packet))
             .expect("sound packet")
     }
 
-    /// Lets the connection to the backend server break and be made anew.
+    /// Breaks the connection to the backend server and opens it again.
     pub(crate) fn reconnect(&mut self) {
         self.now_ms += 10;
         self.flow_agent.handle_backend_disconnected(self.now_ms);
@@ -458,7 +464,7 @@
         self.now_ms += 10;
     }
 
-    /// Lets the agent note its load, as with each message that it sends.
+    /// Makes the agent sample its load, as it does for each message that it sends.
     pub(crate) fn sample_load(&mut self) {
         self.with_agent(|agent, context| agent.load_permille(context));
     }
@@ -467,6 +473,7 @@
         self.with_agent(|agent, context| agent.check_for_stall(context))
     }
 
+    /// Makes the backend server refuse a connection.
     pub(crate) fn refuse_connection(&mut self) -> Vec<Action> {
         self.with_agent(|agent, context| agent.handle_backend_refused(context))
     }
@@ -484,7 +491,8 @@
         self.with_agent(|agent, context| agent.tick(context))
     }
 
-    /// Opens a flow whose backend server chose this number.
+    /// Opens a flow and sends its first request; `sequence` is the backend server's initial sequence
+    /// number.
     pub(crate) fn open(&mut self, key: &FlowKey, sequence: u32) {
         self.deliver(&opener(key, 0));
         self.deliver_from_backend(acceptance(key, sequence));
@@ -492,10 +500,10 @@
     }
 }
 
-/// Tells that callers of [`CALLED`] have time for one attempt.
+/// Sets a deadline under which callers of [`CALLED`] have time for one attempt only.
 pub(crate) fn set_deadline(directory: &mut Directory) {
-    let told = parse_deadlines(&format!("{CALLED},300,1500\n"));
-    directory.set_deadlines(told.expect("sound"));
+    let deadlines = parse_deadlines(&format!("{CALLED},300,1500\n"));
+    directory.set_deadlines(deadlines.expect("sound"));
 }
 
 /// Returns the flows that actions reset.
@@ -512,14 +520,14 @@
 
 /// Returns the hosts to which actions send messages of a kind.
 pub(crate) fn receivers(actions: &[Action], kind: MessageKind) -> Vec<Ipv4Addr> {
-    let told = actions.iter().filter_map(|action| match action {
+    let hosts = actions.iter().filter_map(|action| match action {
         Action::ToPeer(host, message, _) if message.kind == kind => Some(*host),
         _ => None,
     });
-    told.collect()
+    hosts.collect()
 }
 
-/// Tells whether actions hand a packet to the backend server.
+/// Returns whether actions send a packet to the backend server.
 pub(crate) fn reaches_backend(actions: &[Action]) -> bool {
     let mut actions = actions.iter();
     actions.any(|action| matches!(action, Action::ToBackend(_)))
@@ -529,8 +537,8 @@
 pub(crate) fn hosts_taking_flows(directory: &Directory) -> Vec<Ipv4Addr> {
     let table = directory.table(ServiceId::from_name(SERVICE));
     let rows = table.map_or(&[][..], |table| &table.rows);
-    let takers = rows.iter().filter(|row| row.weight > 0);
-    takers.map(|row| row.host).collect()
+    let taking = rows.iter().filter(|row| row.weight > 0);
+    taking.map(|row| row.host).collect()
 }
 
 /// Returns the agent to which a balancer forwards a packet.
--- a/tests/opaque/crest.rs
+++ b/tests/opaque/crest.rs
@@ -4,17 +4,17 @@
 use crate::queue_model::Model;
 use crate::queue_plan::{Outcome, Plan, Policy};
 
-/// Returns a plan of small servers with a load peak of six seconds, whose flows have a few requests
-/// each.
+/// Returns a plan of small servers with a load peak of six seconds, in which the load of all slots rises
+/// to `load`. Flows have a few requests each.
 fn peak_plan(load: f64, has_deadline: bool) -> Plan {
     const NORMAL_LOAD: f64 = 0.6;
     Plan {
         balancers: 19,
-        flow: (3.0, 700.0),
-        aim_ms: 300,
+        requests_per_flow_and_pause_ms: (3.0, 700.0),
+        objective_ms: 300,
         timeout_ms: 1_500,
         burst: Some((4_000, 10_000, load / NORMAL_LOAD)),
-        for_ms: 12_000,
+        duration_ms: 12_000,
         has_deadline,
         ..Plan::new(42, 2, 30.0, NORMAL_LOAD)
     }
@@ -26,7 +26,7 @@
         let outcome = Model::run(&peak_plan(load, has_deadline), Policy::Product);
         println!(
             "| {load} | {has_deadline} | {} | {:.3} | {} | {} | {} ms | {} ms |",
-            outcome.asked,
+            outcome.requests,
             outcome.in_time_share(),
             outcome.late,
             outcome.failed,
--- a/tests/opaque/declines.rs
+++ b/tests/opaque/declines.rs
@@ -146,12 +146,11 @@
     );
 }
 
-/// Returns the mean load in the opener that a balancer sends after it received these loads from
-/// agents.
-fn mean_in_opener(servers: u16, heard: &[u16]) -> u16 {
+/// Returns the mean load in the opener that a balancer sends after agents reported these loads.
+fn mean_in_opener(servers: u16, loads_permille: &[u16]) -> u16 {
     let directory = directory(servers);
     let mut balancer = forwarder();
-    for (index, permille) in (1..).zip(heard) {
+    for (index, permille) in (1..).zip(loads_permille) {
         balancer.record_steady_load(host(index), *permille, 1_000);
     }
     let mut suspicion = Suspicion::default();
--- a/tests/opaque/forwarder.rs
+++ b/tests/opaque/forwarder.rs
@@ -237,8 +237,8 @@
         .filter(|index| index % 3 == 0)
         .map(|index| counts[index])
         .sum();
-    // All but (6·5·4·3) / (9·8·7·6) of the openers have an agent of the zone among their first four by
-    // hash.
+    // All but (6·5·4·3) / (9·8·7·6) of the openers have an agent of the zone among their first four
+    // by hash.
     assert!((7_800..8_060).contains(&near), "{counts:?}");
     let is_even = |share: u32, index: usize| counts[index].abs_diff(share) < share / 5;
     assert!(
--- a/tests/opaque/greetings.rs
+++ b/tests/opaque/greetings.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_balancer_is_greeted_once_quiet_until_it_expires() {
+fn a_balancer_without_recent_messages_is_greeted_until_it_expires() {
     for (after_ms, greeters) in [(0, 0), (249, 0), (250, 3), (59_999, 3), (60_000, 0)] {
         let mut agents = Agents::new(5);
         deliver_to_all(&mut agents, BALANCER, 1_000);
--- a/tests/opaque/lookup.rs
+++ b/tests/opaque/lookup.rs
@@ -152,8 +152,8 @@
     }
 }
 
-// After a restart of all processes, agents are too busy to answer at once. Repeated queries at a fixed
-// interval would keep them busy for as long as callers with a deadline wait.
+// After a restart of all processes, agents are too busy to answer at once. Repeated queries at a
+// fixed interval would keep them busy for as long as callers with a deadline wait.
 #[test]
 fn with_a_deadline_the_interval_between_retries_doubles() {
     for (has_deadline, expected_ms) in [
--- a/tests/opaque/main.rs
+++ b/tests/opaque/main.rs
@@ -1,4 +1,5 @@
-//! The decisions about opaque flows, without input or output.
+//! Tests of the decisions about opaque flows, without network or platform: tests of single decisions,
+//! and models of whole sites.
 
 mod backend_process;
 mod batch_diff;
--- a/tests/opaque/message_bounds.rs
+++ b/tests/opaque/message_bounds.rs
@@ -14,6 +14,7 @@
 const NOW_MS: u64 = 1_000;
 const BOUNDS: &str = include_str!("../../bounds.txt");
 
+/// Returns the bound with this name in `bounds.txt`.
 pub(crate) fn bound(name: &str) -> f64 {
     let line = BOUNDS
         .lines()
@@ -46,8 +47,8 @@
         self.agents.with_agent(at, self.now_ms, decide)
     }
 
-    /// Delivers a message and all messages that follow from it. Returns the agent that handed the packet to
-    /// its backend server.
+    /// Delivers a message and all messages that follow from it. Returns the agent that handed the packet
+    /// to its backend server.
     fn send(
         &mut self,
         to: Ipv4Addr,
@@ -93,6 +94,7 @@
         self.send(to, BALANCER, &message, packet)
     }
 
+    /// Returns the agent to which a balancer that has just started forwards a packet.
     fn first_choice(&mut self, packet: Vec<u8>) -> Ipv4Addr {
         let action = forwarder().handle(
             &self.agents.directory,
@@ -125,6 +127,7 @@
         self.messages = 0;
     }
 
+    /// Opens a flow at the agent that took its opener.
     fn open(&mut self, key: &FlowKey, at: Ipv4Addr) {
         let answer = self.with_agent(at, |agent, context| {
             agent.handle_backend_packet(context, acceptance(key, 500))
--- a/tests/opaque/model.rs
+++ b/tests/opaque/model.rs
@@ -1,6 +1,8 @@
-//! A model of a whole site in which messages are delayed, lost and doubled, processes die, and the platform comes back
-//! from older copies: no flow that a backend server holds is ever reset, and no packet reaches one that it was not
-//! written for.
+//! A model of a whole site that runs random sequences of failures: messages are delayed, lost and
+//! duplicated, processes end, hosts are partitioned, and the platform is restored from older copies.
+//!
+//! No flow that a backend server holds may be reset. That would happen, for example, if an agent took
+//! missing or outdated answers of other agents as proof that no server holds the flow.
 
 use std::net::Ipv4Addr;
 
@@ -16,22 +18,24 @@
     opener, remove_entry, request, returned_packet,
 };
 
-/// Few agents, which are all asked at once, and enough that only the likely ones are asked first.
-const FEW: u16 = 4;
-const MANY: u16 = 36;
-/// When a caller sends the last copy of an opener, in milliseconds after the first.
-const LAST_COPY_MS: u64 = 600;
-/// How many datagrams one event delivers at most.
+/// The hosts of a small site, where a lookup queries all agents at once, and of a large one, where it
+/// queries the likely holders first.
+const SMALL_SITE: u16 = 4;
+const LARGE_SITE: u16 = 36;
+/// The time at which a caller sends the last copy of an opener, in milliseconds after the first.
+const LAST_COPY_DELAY_MS: u64 = 600;
+/// The maximum number of datagrams that one event delivers.
 const MAX_DELIVERED: usize = 400;
-const REVISION: u64 = MANY as u64;
-/// The number that the platform shows after a return: it is lower than before.
+/// The highest revision before any restore.
+const REVISION: u64 = LARGE_SITE as u64;
+/// The revision number of the platform after a restore, which is lower than before.
 const RESTORED_NUMBER: u64 = REVISION / 2;
-/// Within how long after a return backend servers have written their entries again, in milliseconds.
-const WRITTEN_AGAIN_MS: u64 = 2_000;
-/// For how long after it nothing is proved by what is not published, in milliseconds.
+/// The time after a restore within which backend servers rewrite their entries, in milliseconds.
+const REWRITE_MS: u64 = 2_000;
+/// The time after a restore for which a missing entry proves nothing, in milliseconds.
 const SETTLE_MS: u64 = 2_500;
 
-/// A backend server: its flows end with its process.
+/// A backend server, whose flows end with its process.
 #[derive(Debug, Default)]
 struct BackendModel {
     up: bool,
@@ -43,21 +47,21 @@
     flow_agent: FlowAgent,
     backend: BackendModel,
     suspicion: Suspicion,
-    /// The era of the platform that it knows.
+    /// The highest era of the platform that it has seen.
     era: u64,
-    /// Whether all that it knows is what the platform showed after a return.
-    started_on_copy: bool,
+    /// Whether it started after a restore, so that it has only the values of the older copy.
+    started_after_restore: bool,
 }
 
-/// The last return of the platform.
+/// The last restore of the platform.
 #[derive(Debug)]
-struct Restored {
+struct Restore {
     since_ms: u64,
-    /// What the copy shows: a backend server is missing there.
+    /// The directory by the older copy, in which the entry of one backend server is missing.
     directory: Directory,
 }
 
-/// A datagram on its way between processes.
+/// A datagram that was sent and not delivered yet.
 #[derive(Debug, Clone)]
 struct InFlight {
     from: Ipv4Addr,
@@ -66,23 +70,23 @@
     payload: Vec<u8>,
 }
 
-/// Which hosts can't send to the others; who is cut off differs from one direction to the other.
+/// A network partition, in one direction or both.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-struct Cut {
-    /// One in so many hosts is beyond it; nobody is for 0.
+struct Partition {
+    /// Every host whose index is a multiple of this is isolated, and none for 0.
     every: u16,
-    /// Whether those beyond it still reach the others.
+    /// Whether messages from isolated hosts still reach the others.
     one_way: bool,
 }
 
-impl Cut {
-    /// Tells whether a host stands beyond the cut; the balancer never does.
-    fn is_beyond(self, host: Ipv4Addr) -> bool {
+impl Partition {
+    /// Returns whether a host is isolated; the balancer never is.
+    fn is_isolated(self, host: Ipv4Addr) -> bool {
         host != BALANCER && index_of(host).checked_rem(self.every) == Some(0)
     }
 
-    fn stops(self, from: Ipv4Addr, to: Ipv4Addr) -> bool {
-        match (self.is_beyond(from), self.is_beyond(to)) {
+    fn blocks(self, from: Ipv4Addr, to: Ipv4Addr) -> bool {
+        match (self.is_isolated(from), self.is_isolated(to)) {
             (false, true) => true,
             (true, false) => !self.one_way,
             _ => false,
@@ -93,15 +97,15 @@
 struct SiteModel {
     directory: Directory,
     era: u64,
-    restored: Option<Restored>,
-    cut: Cut,
+    restored: Option<Restore>,
+    partition: Partition,
     agents: Vec<AgentModel>,
     balancer: Forwarder,
     in_flight: Vec<InFlight>,
     now_ms: u64,
     first_opener_ms: Vec<(FlowKey, u64)>,
     accepted: Vec<(FlowKey, u32)>,
-    in_use: Vec<FlowKey>,
+    used: Vec<FlowKey>,
     wrong_resets: Vec<FlowKey>,
 }
 
@@ -118,15 +122,15 @@
     StopBackend(u16),
     Refuse(u16),
     Pass(u64),
-    /// An opener reaches an agent that was its owner by an older table.
+    /// An opener reaches an agent that was chosen by an older table.
     OpenAt(u16, u16),
-    /// Everything on its way arrives, and what follows from it.
+    /// Everything in flight is delivered, with the messages that follow from it.
     DeliverAll,
     Cut(u16, bool),
     Heal,
-    /// The platform comes back from a copy without the entry of this backend server.
+    /// The platform is restored from a copy without the entry of this backend server.
     Restore(u16),
-    /// An agent learns of the return.
+    /// An agent sees the new era after a restore.
     Learn(u16),
 }
 
@@ -148,8 +152,8 @@
     ]
 }
 
-/// The same, and cuts between hosts, which heal, with flows where nobody expects them.
-fn event_or_cut(hosts: u16) -> impl Strategy<Value = Event> {
+/// The events of [`event`], network partitions that heal, and openers at unexpected agents.
+fn event_or_partition(hosts: u16) -> impl Strategy<Value = Event> {
     prop_oneof![
         30 => event(hosts),
         4 => (1_u16..6, 1..=hosts).prop_map(|(port, index)| Event::OpenAt(port, index)),
@@ -159,11 +163,11 @@
     ]
 }
 
-/// The same, and returns of the platform from older copies.
+/// The events of [`event_or_partition`] and restores of the platform from older copies.
 fn event_or_restore(hosts: u16) -> impl Strategy<Value = Event> {
     let index = 1_u16..=hosts;
     prop_oneof![
-        30 => event_or_cut(hosts),
+        30 => event_or_partition(hosts),
         1 => index.clone().prop_map(Event::Restore),
         3 => index.clone().prop_map(Event::Learn),
         3 => index.prop_map(Event::RestartAgent),
@@ -193,13 +197,13 @@
             },
             suspicion: Suspicion::default(),
             era: 0,
-            started_on_copy: false,
+            started_after_restore: false,
         });
         Self {
             directory: directory(hosts),
             era: 0,
             restored: None,
-            cut: Cut::default(),
+            partition: Partition::default(),
             agents: agents.collect(),
             balancer: Forwarder::new(
                 WIRE,
@@ -212,19 +216,19 @@
             now_ms: 1_000,
             first_opener_ms: Vec::new(),
             accepted: Vec::new(),
-            in_use: Vec::new(),
+            used: Vec::new(),
             wrong_resets: Vec::new(),
         }
     }
 
     fn step(&mut self, event: &Event) {
         match event {
-            Event::Open(port) => self.open(&flow(*port)),
-            Event::Request(port) => self.request(&flow(*port)),
+            Event::Open(port) => self.send_opener(&flow(*port)),
+            Event::Request(port) => self.send_request(&flow(*port)),
             Event::Deliver(at) => {
                 if let Some(at) = at.checked_rem(self.in_flight.len()) {
                     let datagram = self.in_flight.remove(at);
-                    self.arrive(&datagram);
+                    self.deliver(&datagram);
                 }
             }
             Event::Lose(at) => {
@@ -250,7 +254,7 @@
                 let agent = &mut self.agents[usize::from(*index) - 1];
                 agent.flow_agent = flow_agent(*index, false);
                 agent.era = self.era;
-                agent.started_on_copy = self.restored.is_some();
+                agent.started_after_restore = self.restored.is_some();
             }
             Event::RestartBackend(index) => {
                 self.agents[usize::from(*index) - 1].backend = BackendModel {
@@ -263,29 +267,29 @@
             }
             Event::Refuse(index) => {
                 if !self.agents[usize::from(*index) - 1].backend.up {
-                    self.decide(*index, |agent, context| {
+                    self.run_agent(*index, |agent, context| {
                         agent.handle_backend_refused(context)
                     });
                 }
             }
-            Event::Pass(ms) => self.pass(*ms),
-            Event::OpenAt(port, index) => self.open_at(&flow(*port), host(*index)),
+            Event::Pass(ms) => self.advance(*ms),
+            Event::OpenAt(port, index) => self.send_opener_to(&flow(*port), host(*index)),
             Event::DeliverAll => {
-                // Whatever they answer is on its way too, but no more than this.
+                // Includes the answers to delivered datagrams, up to this number.
                 for _ in 0..MAX_DELIVERED {
                     let Some(datagram) = self.in_flight.pop() else {
                         break;
                     };
-                    self.arrive(&datagram);
+                    self.deliver(&datagram);
                 }
             }
             Event::Cut(every, one_way) => {
-                self.cut = Cut {
+                self.partition = Partition {
                     every: *every,
                     one_way: *one_way,
                 };
             }
-            Event::Heal => self.cut = Cut::default(),
+            Event::Heal => self.partition = Partition::default(),
             Event::Restore(missing) => self.restore(*missing),
             Event::Learn(index) => self.agents[usize::from(*index) - 1].era = self.era,
         }
@@ -296,13 +300,13 @@
         remove_entry(&mut copy, missing, REVISION + 1, 0);
         copy.expire(u64::MAX / 2, 0);
         self.era += 1;
-        self.restored = Some(Restored {
+        self.restored = Some(Restore {
             since_ms: self.now_ms,
             directory: copy,
         });
     }
 
-    /// Returns the highest revision that a process knows; the balancer learns of no return.
+    /// Returns the highest revision that a process holds. The balancer sees no restore.
     fn revision_of(&self, host: Ipv4Addr) -> Revision {
         if host == BALANCER {
             return REVISION.into();
@@ -313,68 +317,70 @@
         }
     }
 
-    fn note_opener(&mut self, key: &FlowKey) {
+    fn record_opener(&mut self, key: &FlowKey) {
         if !self.first_opener_ms.iter().any(|(known, _)| known == key) {
             self.first_opener_ms.push((*key, self.now_ms));
         }
     }
 
-    /// Tells whether a caller still sends copies of its opener: for a while, and none once it uses the flow.
-    fn may_open(&self, key: &FlowKey) -> bool {
+    /// Returns whether a caller still sends copies of its opener, which ends after the last copy and once
+    /// it uses the flow.
+    fn may_send_opener(&self, key: &FlowKey) -> bool {
         let first = self.first_opener_ms.iter().find(|(known, _)| known == key);
-        let in_time = first.is_some_and(|(_, first_ms)| self.now_ms <= first_ms + LAST_COPY_MS);
-        in_time && !self.in_use.contains(key)
+        let in_time =
+            first.is_some_and(|(_, first_ms)| self.now_ms <= first_ms + LAST_COPY_DELAY_MS);
+        in_time && !self.used.contains(key)
     }
 
-    fn open(&mut self, key: &FlowKey) {
-        self.note_opener(key);
-        if self.may_open(key) {
-            self.caller_sends(opener(key, 0));
+    fn send_opener(&mut self, key: &FlowKey) {
+        self.record_opener(key);
+        if self.may_send_opener(key) {
+            self.send_from_caller(opener(key, 0));
         }
     }
 
-    /// The same, where the balancer that forwards it has another table.
-    fn open_at(&mut self, key: &FlowKey, to: Ipv4Addr) {
-        self.note_opener(key);
-        if self.may_open(key) {
+    /// Sends an opener through a balancer that has an older table.
+    fn send_opener_to(&mut self, key: &FlowKey, to: Ipv4Addr) {
+        self.record_opener(key);
+        if self.may_send_opener(key) {
             let mut message = Message::new(MessageKind::Deliver);
             message.host = BALANCER;
             let payload = opener(key, 0);
-            self.perform(BALANCER, vec![Action::ToPeer(to, message, payload)]);
+            self.run_actions(BALANCER, vec![Action::ToPeer(to, message, payload)]);
         }
     }
 
-    /// A caller goes on with a flow that some backend server accepted.
-    fn request(&mut self, key: &FlowKey) {
+    /// Sends a request on a flow that a backend server accepted.
+    fn send_request(&mut self, key: &FlowKey) {
         let accepted = self.accepted.iter().find(|(known, _)| known == key);
         if let Some((_, sequence)) = accepted {
             let packet = request(key, sequence + 1);
-            self.in_use.push(*key);
-            self.caller_sends(packet);
+            self.used.push(*key);
+            self.send_from_caller(packet);
         }
     }
 
-    fn caller_sends(&mut self, packet: Vec<u8>) {
+    fn send_from_caller(&mut self, packet: Vec<u8>) {
         let mut suspicion = Suspicion::default();
         let action = self
             .balancer
             .handle(&self.directory, &mut suspicion, packet, self.now_ms);
-        self.perform(BALANCER, action.into_iter().collect());
+        self.run_actions(BALANCER, action.into_iter().collect());
     }
 
-    fn pass(&mut self, ms: u64) {
+    fn advance(&mut self, ms: u64) {
         self.now_ms += ms;
         for index in 1..=self.agents.len() as u16 {
-            self.decide(index, |agent, context| agent.tick(context));
+            self.run_agent(index, |agent, context| agent.tick(context));
         }
     }
 
-    fn arrive(&mut self, datagram: &InFlight) {
-        if self.cut.stops(datagram.from, datagram.to) {
+    fn deliver(&mut self, datagram: &InFlight) {
+        if self.partition.blocks(datagram.from, datagram.to) {
             return;
         }
         if datagram.to == BALANCER {
-            self.balancer_hears(datagram);
+            self.balancer_receives(datagram);
             return;
         }
         let index = index_of(datagram.to);
@@ -384,15 +390,15 @@
             payload,
             ..
         } = datagram.clone();
-        self.decide(index, |agent, context| {
+        self.run_agent(index, |agent, context| {
             agent
                 .handle_peer_message(context, from, &message, &payload)
                 .unwrap_or_default()
         });
     }
 
-    /// The balancer notes who holds a flow.
-    fn balancer_hears(&mut self, datagram: &InFlight) {
+    /// Records the holder of a flow at the balancer.
+    fn balancer_receives(&mut self, datagram: &InFlight) {
         let InFlight {
             message, payload, ..
         } = datagram;
@@ -409,7 +415,8 @@
         }
     }
 
-    fn decide(
+    /// Calls a method of an agent with its view of the site, and runs the resulting actions.
+    fn run_agent(
         &mut self,
         index: u16,
         decide: impl FnOnce(&mut FlowAgent, &AgentContext<'_>) -> Vec<Action>,
@@ -418,25 +425,26 @@
         let agent = &mut self.agents[usize::from(index) - 1];
         let restored = self.restored.as_ref();
         let restored = restored.filter(|_| agent.era == self.era);
-        let passed_ms = restored.map(|restored| self.now_ms - restored.since_ms);
-        let copy = restored.filter(|_| agent.started_on_copy);
-        let copy = copy.filter(|_| passed_ms < Some(WRITTEN_AGAIN_MS));
+        let since_restore_ms = restored.map(|restored| self.now_ms - restored.since_ms);
+        let copy = restored.filter(|_| agent.started_after_restore);
+        let copy = copy.filter(|_| since_restore_ms < Some(REWRITE_MS));
         let context = AgentContext {
             directory: copy.map_or(&self.directory, |restored| &restored.directory),
             suspicion: &agent.suspicion,
             revision,
-            is_settled: passed_ms.is_none_or(|passed_ms| passed_ms >= SETTLE_MS),
+            is_settled: since_restore_ms
+                .is_none_or(|since_restore_ms| since_restore_ms >= SETTLE_MS),
             now_ms: self.now_ms,
         };
         let actions = decide(&mut agent.flow_agent, &context);
-        self.perform(host(index), actions);
+        self.run_actions(host(index), actions);
     }
 
-    fn perform(&mut self, from: Ipv4Addr, actions: Vec<Action>) {
+    fn run_actions(&mut self, from: Ipv4Addr, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::ToBackend(packet) => self.backend_takes(index_of(from), packet),
-                Action::ToCaller(_, packet) => self.caller_takes(&packet),
+                Action::ToBackend(packet) => self.backend_receives(index_of(from), packet),
+                Action::ToCaller(_, packet) => self.caller_receives(&packet),
                 Action::ToPeer(to, mut message, payload) => {
                     message.digest.highest = self.revision_of(from);
                     self.in_flight.push(InFlight {
@@ -450,7 +458,7 @@
         }
     }
 
-    fn backend_takes(&mut self, index: u16, packet: Vec<u8>) {
+    fn backend_receives(&mut self, index: u16, packet: Vec<u8>) {
         let segment = (WIRE.decode)(&packet).expect("sound packet");
         let key = segment.flow_from_caller();
         let backend = &mut self.agents[usize::from(index) - 1].backend;
@@ -474,7 +482,7 @@
             Some(returned_packet(packet))
         };
         if let Some(answer) = answer {
-            self.decide(index, |agent, context| {
+            self.run_agent(index, |agent, context| {
                 agent
                     .handle_backend_packet(context, answer)
                     .unwrap_or_default()
@@ -482,7 +490,7 @@
         }
     }
 
-    fn caller_takes(&mut self, packet: &[u8]) {
+    fn caller_receives(&mut self, packet: &[u8]) {
         let segment = (WIRE.decode)(packet).expect("sound packet");
         let key = segment.flow_from_backend();
         if segment.accepts && !self.accepted.iter().any(|(known, _)| *known == key) {
@@ -498,7 +506,7 @@
     }
 }
 
-/// Plays events and returns the flows that were reset while a backend server held them.
+/// Runs events and returns the flows that were reset while a backend server held them.
 fn wrong_resets(hosts: u16, events: &[Event]) -> Vec<FlowKey> {
     let mut site = SiteModel::new(hosts);
     for event in events {
@@ -511,26 +519,26 @@
     #![proptest_config(ProptestConfig::with_cases(400))]
 
     #[test]
-    fn no_flow_is_reset_while_a_backend_server_holds_it(events in prop::collection::vec(event(FEW), 1..120)) {
-        let wrong = wrong_resets(FEW, &events);
+    fn no_flow_is_reset_while_a_backend_server_holds_it(events in prop::collection::vec(event(SMALL_SITE), 1..120)) {
+        let wrong = wrong_resets(SMALL_SITE, &events);
         prop_assert!(wrong.is_empty(), "{wrong:?}");
     }
 
     #[test]
-    fn no_flow_is_reset_on_either_side_of_a_cut(events in prop::collection::vec(event_or_cut(FEW), 1..200)) {
-        let wrong = wrong_resets(FEW, &events);
+    fn no_flow_is_reset_on_either_side_of_a_cut(events in prop::collection::vec(event_or_partition(SMALL_SITE), 1..200)) {
+        let wrong = wrong_resets(SMALL_SITE, &events);
         prop_assert!(wrong.is_empty(), "{wrong:?}");
     }
 
     #[test]
-    fn no_flow_is_reset_while_the_platform_comes_back_from_older_copies(events in prop::collection::vec(event_or_restore(FEW), 1..200)) {
-        let wrong = wrong_resets(FEW, &events);
+    fn no_flow_is_reset_while_the_platform_comes_back_from_older_copies(events in prop::collection::vec(event_or_restore(SMALL_SITE), 1..200)) {
+        let wrong = wrong_resets(SMALL_SITE, &events);
         prop_assert!(wrong.is_empty(), "{wrong:?}");
     }
 
     #[test]
-    fn no_flow_of_a_large_site_is_reset_while_a_backend_server_holds_it(events in prop::collection::vec(event_or_cut(MANY), 1..200)) {
-        let wrong = wrong_resets(MANY, &events);
+    fn no_flow_of_a_large_site_is_reset_while_a_backend_server_holds_it(events in prop::collection::vec(event_or_partition(LARGE_SITE), 1..200)) {
+        let wrong = wrong_resets(LARGE_SITE, &events);
         prop_assert!(wrong.is_empty(), "{wrong:?}");
     }
 }
--- a/tests/opaque/opened_flows.rs
+++ b/tests/opaque/opened_flows.rs
@@ -100,9 +100,9 @@
         0
     );
     agent.now_ms += 200;
-    let unaware = agent.deliver(&request(&flow(1), 501));
+    let repeated = agent.deliver(&request(&flow(1), 501));
     assert_eq!(
-        count_opened_notices(&unaware),
+        count_opened_notices(&repeated),
         1,
         "the first notice was lost"
     );
@@ -166,16 +166,19 @@
     assert!(!is_sent_as_opened(&mut reopened, opener(&flow(1), 0)));
     assert!(!is_sent_as_opened(&mut reopened, request(&flow(1), 501)));
 
-    // The opener of the later flow came through another balancer.
-    let mut unaware = forwarder();
-    unaware.record_opened(flow(1), host(4), 1_000);
-    assert!(is_sent_as_opened(&mut unaware, request(&flow(1), 501)));
+    // This balancer has not seen the opener of the later flow, which came through another one.
+    let mut other_balancer = forwarder();
+    other_balancer.record_opened(flow(1), host(4), 1_000);
+    assert!(is_sent_as_opened(
+        &mut other_balancer,
+        request(&flow(1), 501)
+    ));
     assert!(!is_sent_as_opened(
-        &mut unaware,
+        &mut other_balancer,
         request(&flow(1), 0x4000_0000)
     ));
     assert!(!is_sent_as_opened(
-        &mut unaware,
+        &mut other_balancer,
         request(&flow(1), 0x4000_0000)
     ));
 }
--- a/tests/opaque/openers.rs
+++ b/tests/opaque/openers.rs
@@ -12,8 +12,8 @@
 
 #[test]
 fn under_overload_fresh_openers_are_taken_first() {
-    // With four slots the limits are eight requests for the first copy, six for the second and four for
-    // the last.
+    // With four slots the limits are eight requests for the first copy, six for the second and four
+    // for the last.
     for (busy, taken) in [
         (3, [true, true, true]),
         (5, [true, true, false]),
@@ -96,8 +96,8 @@
 
 #[test]
 fn a_cold_backend_server_takes_fewer_openers() {
-    // With four slots the cold limits are six requests for the first copy, four for the second and three
-    // for the last.
+    // With four slots the cold limits are six requests for the first copy, four for the second and
+    // three for the last.
     for (busy, cold, warm) in [
         (2, [true, true, true], [true, true, true]),
         (3, [true, true, false], [true, true, true]),
--- a/tests/opaque/outcomes.rs
+++ b/tests/opaque/outcomes.rs
@@ -6,11 +6,12 @@
 };
 use crate::waiting::answer;
 
-/// Flows whose ends, if they were failures, would be enough for a failing backend server.
+/// Flows whose ends, if they counted as failures, would make the backend server count as failing.
 const ENDED: std::ops::Range<u16> = 1..6;
 /// Flows with more requests than the backend server is handed at once.
 const FULL: std::ops::Range<u16> = 100..120;
-/// Flows whose ends, if they were failures, would be enough among the answers to [`FULL`].
+/// Flows whose ends, if they counted as failures, would make the backend server count as failing
+/// despite its answers to [`FULL`].
 const LEAVING: std::ops::Range<u16> = 1..16;
 
 fn agent(has_deadline: bool, knows_all_flows: bool) -> AgentUnderTest {
@@ -21,8 +22,9 @@
     agent
 }
 
-/// Ends a flow with a running request by its caller, and then by the backend server without an answer.
-fn caller_leaves(agent: &mut AgentUnderTest, port: u16) {
+/// Ends a flow with a running request, first from its caller's side and then from the backend
+/// server's, without an answer.
+fn end_flow_by_caller(agent: &mut AgentUnderTest, port: u16) {
     let key = flow(port);
     agent.open(&key, 500);
     let leaves = PacketSpec {
@@ -32,11 +34,11 @@
         data_bytes: 0,
     };
     agent.deliver(&from_caller(&key, leaves));
-    backend_ends(agent, port, FIN);
+    end_flow_by_backend(agent, port, FIN);
 }
 
-/// Ends a flow by the backend server without an answer.
-fn backend_ends(agent: &mut AgentUnderTest, port: u16, flag: u8) {
+/// Ends a flow from the backend server's side, without an answer.
+fn end_flow_by_backend(agent: &mut AgentUnderTest, port: u16, flag: u8) {
     let end = PacketSpec {
         flags: ACK | flag,
         sequence: 501,
@@ -45,8 +47,8 @@
     agent.deliver_from_backend(from_backend(&flow(port), end));
 }
 
-/// Delivers a request on a flow from before the start of the agent, which the backend server resets.
-fn flow_from_before_is_reset(agent: &mut AgentUnderTest, port: u16) {
+/// Delivers requests on a flow that is older than the agent, which the backend server resets.
+fn reset_old_flow(agent: &mut AgentUnderTest, port: u16) {
     agent.deliver(&request(&flow(port), 501));
     agent.tick_at(agent.now_ms + 50);
     let next = PacketSpec {
@@ -56,12 +58,13 @@
         data_bytes: 40,
     };
     agent.deliver(&from_caller(&flow(port), next));
-    backend_ends(agent, port, RST);
+    end_flow_by_backend(agent, port, RST);
 }
 
-/// Returns whether the agent takes openers without limit, so that its backend server is not failing.
+/// Returns whether the agent takes two openers in a row, which it does unless its backend server counts
+/// as failing.
 fn takes_openers(agent: &mut AgentUnderTest) -> bool {
-    // A failing backend server is probed with one opener.
+    // A failing backend server gets only the first one, as a probe.
     agent.deliver(&opener(&flow(200), 0));
     reaches_backend(&agent.deliver(&opener(&flow(201), 0)))
 }
@@ -70,7 +73,7 @@
 fn flows_ended_by_their_callers_are_no_failures() {
     let mut agent = agent(true, true);
     for port in ENDED {
-        caller_leaves(&mut agent, port);
+        end_flow_by_caller(&mut agent, port);
     }
     assert_eq!(agent.flow_agent.busy_requests(), 0);
     assert!(takes_openers(&mut agent));
@@ -80,7 +83,7 @@
 fn resets_of_flows_from_before_the_agent_are_no_failures() {
     let mut agent = agent(true, false);
     for port in ENDED {
-        flow_from_before_is_reset(&mut agent, port);
+        reset_old_flow(&mut agent, port);
     }
     assert_eq!(agent.flow_agent.busy_requests(), 0);
     assert!(takes_openers(&mut agent));
@@ -118,7 +121,7 @@
         answer(&mut agent, port);
     }
     for port in LEAVING {
-        backend_ends(&mut agent, port, FIN);
+        end_flow_by_backend(&mut agent, port, FIN);
     }
     assert!(takes_openers(&mut agent));
 }
@@ -128,7 +131,7 @@
     let mut agent = agent(true, false);
     for port in ENDED {
         agent.acknowledge_from_backend(&flow(port));
-        flow_from_before_is_reset(&mut agent, port);
+        reset_old_flow(&mut agent, port);
     }
     assert!(!takes_openers(&mut agent));
 }
@@ -139,7 +142,7 @@
         let mut agent = agent(true, true);
         for port in ENDED {
             agent.open(&flow(port), 500);
-            backend_ends(&mut agent, port, flag);
+            end_flow_by_backend(&mut agent, port, flag);
         }
         assert!(!takes_openers(&mut agent));
     }
@@ -150,8 +153,8 @@
     let mut left = agent(false, true);
     let mut reset = agent(false, false);
     for port in ENDED {
-        caller_leaves(&mut left, port);
-        flow_from_before_is_reset(&mut reset, port);
+        end_flow_by_caller(&mut left, port);
+        reset_old_flow(&mut reset, port);
     }
     assert!(!takes_openers(&mut left));
     assert!(!takes_openers(&mut reset));
--- a/tests/opaque/policies.rs
+++ b/tests/opaque/policies.rs
@@ -13,13 +13,13 @@
     Policy::Product,
 ];
 
-/// Runs a plan under each policy, and prints a row for each, for docs/MEASUREMENTS.md.
+/// Runs a plan under each policy, and prints a row for each in the format of docs/MEASUREMENTS.md.
 fn compare(name: &str, plan: &Plan) -> [Outcome; 6] {
     POLICIES.map(|policy| {
         let outcome = Model::run(plan, policy);
         println!(
             "| {name} | {policy:?} | {} | {:.3} | {} | {} ms | {} ms | {:.2} |",
-            outcome.asked,
+            outcome.requests,
             outcome.in_time_share(),
             outcome.failed,
             outcome.percentile_ms(0.5),
@@ -49,7 +49,7 @@
         (
             "one_slow",
             Plan {
-                first_slower: 5.0,
+                first_server_slowdown: 5.0,
                 ..calm
             },
         ),
@@ -65,7 +65,7 @@
             "power_lost",
             Plan {
                 load: 0.7,
-                power_lost_ms: Some((6_000, 1_000)),
+                power_loss_ms: Some((6_000, 1_000)),
                 ..calm
             },
         ),
@@ -93,13 +93,13 @@
     }
 }
 
-/// Returns a plan in which all hosts of a service lose power, and the load then exceeds the capacity of
-/// the cold servers: 21 slots that need 1.6 times as long for two seconds.
+/// Returns a plan in which all hosts of a service lose power, after which the load exceeds the capacity
+/// of the cold servers: 21 slots whose service takes 1.6 times as long for two seconds.
 fn overload_after_power_loss(seed: u64) -> Plan {
     Plan {
-        power_lost_ms: Some((6_000, 700)),
-        aim_ms: 250,
-        for_ms: 12_000,
+        power_loss_ms: Some((6_000, 700)),
+        objective_ms: 250,
+        duration_ms: 12_000,
         seed,
         ..Plan::new(3, 7, 55.0, 0.75)
     }
@@ -123,9 +123,9 @@
 fn many_balancers(seed: u64) -> Plan {
     Plan {
         balancers: 50,
-        flow: (5.0, 2_000.0),
-        aim_ms: 400,
-        for_ms: 30_000,
+        requests_per_flow_and_pause_ms: (5.0, 2_000.0),
+        objective_ms: 400,
+        duration_ms: 30_000,
         seed,
         ..Plan::new(100, 2, 30.0, 0.25)
     }
@@ -151,7 +151,7 @@
 #[test]
 fn running_a_plan_twice_gives_the_same_result() {
     let plan = Plan {
-        for_ms: 5_000,
+        duration_ms: 5_000,
         ..Plan::new(7, 4, 30.0, 0.8)
     };
     let runs = [0, 1].map(|_| Model::run(&plan, Policy::Product));
--- a/tests/opaque/queue_model/processes.rs
+++ b/tests/opaque/queue_model/processes.rs
@@ -1,4 +1,4 @@
-//! What balancer, agents and backend servers do with messages in the model.
+//! The handling of messages by balancers, agents and backend servers in the queue model.
 
 use std::net::Ipv4Addr;
 
@@ -7,19 +7,21 @@
     UNKNOWN_LOAD_PERMILLE, backend_text, cold_backend_text, decode_steady_load, decode_wait_ms,
 };
 
-use super::{ACCEPTED, BEAT_MS, Event, Model, TICK_MS, forwarders};
+use super::{
+    ACCEPTANCE_SEQUENCE, Event, HEARTBEAT_INTERVAL_MS, Model, TICK_INTERVAL_MS, new_forwarders,
+};
 use crate::builder::{BALANCER, SERVICE, WIRE, ZONE, acceptance, backend_address, host, publish};
 use crate::queue_plan::Plan;
 
-/// Publishes the backend servers of a plan with the slots that they have there.
+/// Publishes the backend servers of a plan with their slots.
 pub(super) fn publish_slots(directory: &mut Directory, plan: &Plan, revision: u64, now_ms: u64) {
     for index in 1..=plan.servers {
-        let text = text_of(plan, index);
+        let text = planned_entry_text(plan, index);
         publish(directory, index, &text, revision + u64::from(index), now_ms);
     }
 }
 
-fn text_of(plan: &Plan, index: u16) -> String {
+fn planned_entry_text(plan: &Plan, index: u16) -> String {
     let address = backend_address(index).to_string();
     backend_text(
         SERVICE,
@@ -37,27 +39,27 @@
         let index = self.balancer_of(segment.source.port());
         let suspicion = &mut self.agents.suspicion;
         let action = self.forwarders[index].handle(directory, suspicion, packet, now_ms);
-        self.perform(BALANCER, action.into_iter().collect());
+        self.run_actions(BALANCER, action.into_iter().collect());
     }
 
-    /// Returns which balancer the packets of a caller's port come through.
+    /// Returns the index of the balancer that gets the packets of a caller's port.
     fn balancer_of(&self, port: u16) -> usize {
         usize::from(port) % self.forwarders.len()
     }
 
-    /// Does what a process on a host asks for.
-    fn perform(&mut self, at: Ipv4Addr, actions: Vec<Action>) {
+    /// Runs the actions of the process on a host.
+    fn run_actions(&mut self, at: Ipv4Addr, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::ToPeer(to, message, payload) => self.send(at, to, message, payload),
-                Action::ToBackend(packet) => self.backend_hears(at, &packet),
-                Action::ToCaller(_, packet) => self.caller_hears(at, &packet),
+                Action::ToBackend(packet) => self.backend_receives(at, &packet),
+                Action::ToCaller(_, packet) => self.caller_receives(at, &packet),
             }
         }
     }
 
     fn send(&mut self, from: Ipv4Addr, to: Ipv4Addr, mut message: Message, mut payload: Vec<u8>) {
-        if from == BALANCER && !self.policy.knows_mean() {
+        if from == BALANCER && !self.policy.sends_mean_load() {
             message.load_permille = UNKNOWN_LOAD_PERMILLE;
         }
         if from != BALANCER && message.load_permille == UNKNOWN_LOAD_PERMILLE {
@@ -66,9 +68,9 @@
         }
         message.append(&mut payload);
         if to == BALANCER {
-            self.soon(Event::ToBalancer(from, payload));
+            self.schedule_after_delay(Event::ToBalancer(from, payload));
         } else {
-            self.soon(Event::ToAgent(to, from, payload));
+            self.schedule_after_delay(Event::ToAgent(to, from, payload));
         }
     }
 
@@ -80,22 +82,22 @@
         self.agents.with_agent(at, self.now_ms, decide)
     }
 
-    pub(super) fn agent_hears(&mut self, at: Ipv4Addr, from: Ipv4Addr, datagram: &[u8]) {
+    pub(super) fn agent_receives(&mut self, at: Ipv4Addr, from: Ipv4Addr, datagram: &[u8]) {
         let (payload, message) = Message::split(datagram).expect("sound");
         let actions = self.with_agent(at, |agent, context| {
             agent.handle_peer_message(context, from, &message, payload)
         });
-        self.perform(at, actions.unwrap_or_default());
+        self.run_actions(at, actions.unwrap_or_default());
     }
 
-    pub(super) fn balancer_hears(&mut self, from: Ipv4Addr, datagram: &[u8]) {
+    pub(super) fn balancer_receives(&mut self, from: Ipv4Addr, datagram: &[u8]) {
         let (payload, message) = Message::split(datagram).expect("sound");
         // The payload names the flow: the caller's address and port come first.
         let &[_, _, _, _, high, low, ..] = payload else {
             return;
         };
         let port = u16::from_be_bytes([high, low]);
-        let key = self.key(port);
+        let key = self.flow_key(port);
         let index = self.balancer_of(port);
         let forwarder = &mut self.forwarders[index];
         forwarder.record_message(from, message.load_permille, self.now_ms);
@@ -116,10 +118,10 @@
                     from,
                     now_ms,
                 );
-                self.perform(BALANCER, action.into_iter().collect());
+                self.run_actions(BALANCER, action.into_iter().collect());
             }
             MessageKind::Absent => forwarder.record_handed_on(&key, from),
-            MessageKind::AttemptFailed if self.policy.knows_retries() => {
+            MessageKind::AttemptFailed if self.policy.reports_failed_attempts() => {
                 let waited_ms = message.waited_ms;
                 forwarder.record_failed_attempt(&key, waited_ms, self.now_ms);
             }
@@ -127,25 +129,25 @@
         }
     }
 
-    fn backend_hears(&mut self, at: Ipv4Addr, packet: &[u8]) {
+    fn backend_receives(&mut self, at: Ipv4Addr, packet: &[u8]) {
         let segment = (WIRE.decode)(packet).expect("sound");
         let key = segment.flow_from_caller();
         if segment.opens {
-            self.backend_says(at, acceptance(&key, ACCEPTED));
+            self.backend_sends(at, acceptance(&key, ACCEPTANCE_SEQUENCE));
         } else if segment.payload_bytes > 0 {
             self.enqueue(at, key.caller.port());
         }
     }
 
-    pub(super) fn backend_says(&mut self, at: Ipv4Addr, packet: Vec<u8>) {
+    pub(super) fn backend_sends(&mut self, at: Ipv4Addr, packet: Vec<u8>) {
         let actions = self.with_agent(at, |agent, context| {
             agent.handle_backend_packet(context, packet)
         });
-        self.perform(at, actions.unwrap_or_default());
+        self.run_actions(at, actions.unwrap_or_default());
     }
 
     pub(super) fn tick(&mut self) {
-        self.at(self.now_ms + TICK_MS, Event::Tick);
+        self.schedule(self.now_ms + TICK_INTERVAL_MS, Event::Tick);
         if !self.policy.is_product() {
             return;
         }
@@ -154,25 +156,26 @@
         for forwarder in &mut self.forwarders {
             actions.extend(forwarder.tick(directory, &mut self.agents.suspicion, now_ms));
         }
-        self.perform(BALANCER, actions);
+        self.run_actions(BALANCER, actions);
         for index in 1..=self.plan.servers {
             let actions = self.with_agent(host(index), |agent, context| agent.tick(context));
-            self.perform(host(index), actions);
+            self.run_actions(host(index), actions);
         }
     }
 
-    /// Lets balancers hear the loads of all, as they do while nothing else passes.
-    pub(super) fn beat(&mut self) {
-        self.at(self.now_ms + BEAT_MS, Event::Beat);
+    /// Reports the loads of all servers to balancers, as heartbeats do.
+    pub(super) fn heartbeat(&mut self) {
+        self.schedule(self.now_ms + HEARTBEAT_INTERVAL_MS, Event::Heartbeat);
         for index in 1..=self.plan.servers {
             let server = &self.servers[usize::from(index) - 1];
             let busy = server.queue.len() + server.running.len();
-            self.told[usize::from(index) - 1] = busy as f64 / self.plan.slots as f64;
+            self.reported_loads[usize::from(index) - 1] = busy as f64 / self.plan.slots as f64;
             let permille = self.with_agent(host(index), |agent, context| {
                 agent.expire(context.now_ms);
                 agent.load_permille(context)
             });
-            // One of many asks few agents for the newest values, and hears the others when it sends to them.
+            // One of many balancers pulls values from few agents only. It gets messages from the others
+            // when it sends to them.
             if let [only] = self.forwarders.as_mut_slice() {
                 only.record_message(host(index), permille, self.now_ms);
             }
@@ -182,28 +185,29 @@
         }
     }
 
-    /// Ends all servers and agents and what they hold; callers of it try again.
+    /// Ends all processes with all requests that run or wait at servers. Their callers retry.
     pub(super) fn lose_power(&mut self) {
-        self.dark = true;
+        self.is_power_lost = true;
         self.agents.restart();
-        self.forwarders = forwarders(&self.plan);
+        self.forwarders = new_forwarders(&self.plan);
         for index in 0..self.servers.len() {
             let server = &mut self.servers[index];
-            server.lives += 1;
+            server.lifetime += 1;
             let mut lost = std::mem::take(&mut server.queue);
             lost.append(&mut server.running);
             for port in lost {
-                self.try_again(port);
+                self.retry(port);
             }
         }
     }
 
-    pub(super) fn regain_power(&mut self) {
-        self.dark = false;
-        let cold_ms = self.plan.cold.0;
+    /// Starts all servers, which are cold at first.
+    pub(super) fn restore_power(&mut self) {
+        self.is_power_lost = false;
+        let cold_ms = self.plan.cold_ms_and_slowdown.0;
         self.cold_until_ms = self.now_ms + cold_ms;
         for index in 1..=self.plan.servers {
-            let text = text_of(&self.plan, index);
+            let text = planned_entry_text(&self.plan, index);
             let text = cold_backend_text(&text, cold_ms as u32);
             let revision = 2_000 + u64::from(index);
             publish(
--- a/tests/opaque/queue_plan.rs
+++ b/tests/opaque/queue_plan.rs
@@ -1,24 +1,26 @@
-//! What the model of placement plays, and what callers got.
+//! The policies and plans of the queue model, and the outcome of a run.
 
-/// How openers are placed.
+/// The placement of openers on servers. Rows in docs/MEASUREMENTS.md show the names of the variants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Policy {
     /// The first server by hash.
     Hash,
-    /// Of the two first by hash the one whose load was told to be lower.
+    /// Of the first two servers by hash, the one with the lower reported load.
     TwoChoices,
-    /// The one of all whose load was told to be lowest.
+    /// The server with the lowest reported load of all.
     LeastLoaded,
-    /// The product, but balancers do not hear of attempts that failed, so that each retry looks fresh.
+    /// The product without reports of failed attempts to balancers, so that each retry looks like a
+    /// fresh opener.
     RetriesUnknown,
-    /// The product, but agents are not told the mean load, so that none leaves an opener to a lighter one.
+    /// The product without the mean load in openers, so that no agent declines one in favor of a less
+    /// loaded agent.
     MeanUnknown,
     /// The product.
     Product,
 }
 
 impl Policy {
-    /// Tells whether the product's own code decides.
+    /// Returns whether the product's own code places openers.
     pub(crate) fn is_product(self) -> bool {
         matches!(
             self,
@@ -26,62 +28,67 @@
         )
     }
 
-    /// Tells whether agents are told the mean load.
-    pub(crate) fn knows_mean(self) -> bool {
+    /// Returns whether openers carry the mean load to agents.
+    pub(crate) fn sends_mean_load(self) -> bool {
         self != Policy::MeanUnknown
     }
 
-    /// Tells whether balancers hear of attempts that failed.
-    pub(crate) fn knows_retries(self) -> bool {
+    /// Returns whether agents report failed attempts to balancers.
+    pub(crate) fn reports_failed_attempts(self) -> bool {
         matches!(self, Policy::MeanUnknown | Policy::Product)
     }
 }
 
-/// What is asked of the servers.
+/// The servers of a run and the load on them.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Plan {
-    /// How many balancers share the callers; each hears only the agents to which it sends.
+    /// The number of balancers that share the callers. Each gets messages only from the agents to which
+    /// it sends.
     pub(crate) balancers: u16,
     pub(crate) servers: u16,
     pub(crate) slots: usize,
-    /// The mean number of requests on a flow, and the mean pause before each but the first, in milliseconds.
-    pub(crate) flow: (f64, f64),
-    /// The mean time of a request at a server, in milliseconds.
-    pub(crate) work_ms: f64,
-    /// What is asked, as a part of what all slots can do.
+    /// The mean number of requests on a flow, and the mean pause before each but the first, in
+    /// milliseconds.
+    pub(crate) requests_per_flow_and_pause_ms: (f64, f64),
+    /// The mean service time of a request, in milliseconds.
+    pub(crate) service_ms: f64,
+    /// The offered load as a fraction of the capacity of all slots.
     pub(crate) load: f64,
-    /// How much slower the first server is.
-    pub(crate) first_slower: f64,
-    /// When all hosts lose power, and for how long, in milliseconds.
-    pub(crate) power_lost_ms: Option<(u64, u64)>,
-    /// For how long servers are cold after it, in milliseconds, and how much slower they are.
-    pub(crate) cold: (u64, f64),
-    /// Until when more is asked, and how much more.
+    /// The factor by which service takes longer at the first server.
+    pub(crate) first_server_slowdown: f64,
+    /// The time at which all hosts lose power, and the length of the outage, in milliseconds.
+    pub(crate) power_loss_ms: Option<(u64, u64)>,
+    /// The time for which servers are cold after a power loss, in milliseconds, and the factor by which
+    /// service takes longer then.
+    pub(crate) cold_ms_and_slowdown: (u64, f64),
+    /// The start and end of a load peak, in milliseconds, and the factor of the offered load in it.
     pub(crate) burst: Option<(u64, u64, f64)>,
-    pub(crate) for_ms: u64,
-    pub(crate) aim_ms: u64,
-    /// When callers give up, in milliseconds.
+    /// The time until the last arrival, in milliseconds.
+    pub(crate) duration_ms: u64,
+    /// The time within which an answer counts as in time, in milliseconds.
+    pub(crate) objective_ms: u64,
+    /// The time after which callers give up, in milliseconds.
     pub(crate) timeout_ms: u64,
-    /// Whether the configuration tells for how long callers wait.
+    /// Whether the callers' objective and timeout are published as a deadline.
     pub(crate) has_deadline: bool,
     pub(crate) seed: u64,
 }
 
 impl Plan {
-    pub(crate) fn new(servers: u16, slots: usize, work_ms: f64, load: f64) -> Self {
+    pub(crate) fn new(servers: u16, slots: usize, service_ms: f64, load: f64) -> Self {
         Self {
             balancers: 1,
             servers,
             slots,
-            flow: (1.0, 0.0),
-            work_ms,
+            requests_per_flow_and_pause_ms: (1.0, 0.0),
+            service_ms,
             load,
-            first_slower: 1.0,
-            power_lost_ms: None,
-            cold: (2_000, 1.6),
+            first_server_slowdown: 1.0,
+            power_loss_ms: None,
+            cold_ms_and_slowdown: (2_000, 1.6),
             burst: None,
-            for_ms: 20_000,
-            aim_ms: 150,
+            duration_ms: 20_000,
+            objective_ms: 150,
             timeout_ms: 3_000,
             has_deadline: false,
             seed: 1,
@@ -89,22 +96,22 @@
     }
 }
 
-/// What callers got.
+/// The answers that callers got in a run.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Outcome {
-    pub(crate) asked: usize,
+    pub(crate) requests: usize,
     pub(crate) in_time: usize,
     pub(crate) late: usize,
     pub(crate) failed: usize,
-    /// The time until the answer, of all that were answered, sorted, in milliseconds.
+    /// The sorted waits of all answered requests, in milliseconds.
     pub(crate) waits_ms: Vec<u64>,
-    /// The requests that each server ran.
-    pub(crate) ran: Vec<usize>,
+    /// The number of requests that each server ran.
+    pub(crate) requests_by_server: Vec<usize>,
 }
 
 impl Outcome {
     pub(crate) fn in_time_share(&self) -> f64 {
-        self.in_time as f64 / self.asked.max(1) as f64
+        self.in_time as f64 / self.requests.max(1) as f64
     }
 
     pub(crate) fn percentile_ms(&self, part: f64) -> u64 {
@@ -113,10 +120,11 @@
         self.waits_ms.get(index.min(last)).copied().unwrap_or(0)
     }
 
-    /// Returns the most that one server ran, over the mean.
+    /// Returns the number of requests of the busiest server over the mean.
     pub(crate) fn imbalance(&self) -> f64 {
-        let most = self.ran.iter().copied().max().unwrap_or(0) as f64;
-        let mean = self.ran.iter().sum::<usize>() as f64 / self.ran.len().max(1) as f64;
+        let most = self.requests_by_server.iter().copied().max().unwrap_or(0) as f64;
+        let mean = self.requests_by_server.iter().sum::<usize>() as f64
+            / self.requests_by_server.len().max(1) as f64;
         most / mean.max(1.0)
     }
 }
--- a/tests/opaque/restarts.rs
+++ b/tests/opaque/restarts.rs
@@ -29,6 +29,7 @@
     agent.deliver_from_backend(from_backend(key, spec));
 }
 
+/// Delivers the packet of another agent's lookup, and returns whether it reaches the backend server.
 fn find_reaches_backend(agent: &mut AgentUnderTest, packet: &[u8]) -> bool {
     let actions = agent.deliver_message(host(2), Message::new(MessageKind::Find), packet);
     reaches_backend(&actions)
@@ -54,7 +55,7 @@
 }
 
 #[test]
-fn the_next_request_of_such_a_flow_counts_as_busy_until_it_is_answered() {
+fn the_next_request_of_a_flow_older_than_the_agent_counts_as_busy_until_it_is_answered() {
     let mut agent = restarted_agent();
     let key = flow(1);
     answer(&mut agent, &key, REQUEST_END);
--- a/tests/opaque/restored_platform.rs
+++ b/tests/opaque/restored_platform.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn states_are_ordered_by_the_writer_s_version_only_across_eras() {
+fn states_are_ordered_by_their_writers_versions_only_across_eras() {
     // (offered, held, whether offered is after held)
     let cases = [
         (stamp(0, 9, 0), stamp(0, 8, 0), true),
--- a/tests/opaque/startup_backoff.rs
+++ b/tests/opaque/startup_backoff.rs
@@ -10,12 +10,12 @@
 
 /// Starts `count` processes during an outage of the platform, and returns each with its number of
 /// reads in it.
-fn run_outage(count: usize, outage_ms: u64, do_seeds_answer: bool) -> Vec<(StartupBackoff, u32)> {
+fn run_outage(count: usize, outage_ms: u64, has_seed_answers: bool) -> Vec<(StartupBackoff, u32)> {
     let start = |index| (StartupBackoff::new(index < SEEDS, 0), 0);
     let mut processes: Vec<(StartupBackoff, u32)> = (0..count).map(start).collect();
     for now_ms in (0..outage_ms).step_by(CHECK_INTERVAL_MS) {
         for (backoff, reads) in &mut processes {
-            if do_seeds_answer && now_ms % ANSWER_INTERVAL_MS == 0 {
+            if has_seed_answers && now_ms % ANSWER_INTERVAL_MS == 0 {
                 backoff.record_seed_answer(now_ms);
             }
             if backoff.is_due(now_ms) {
--- a/tests/placement.rs
+++ b/tests/placement.rs
@@ -13,23 +13,25 @@
     place_opener(table, opener_hash, |_| true).map(|placement| placement.owner.target.as_str())
 }
 
-/// A simple reference: each target draws as many lots as its weight, and the highest lot wins.
+/// A simple reference implementation: each target gets as many hashes as its weight, and the target
+/// with the highest hash is the owner.
 fn reference_owner(table: &Table, opener_hash: u64) -> Option<&str> {
-    let lots = table
+    let copies = table
         .rows
         .iter()
-        .flat_map(|row| (0..row.weight).map(move |lot| (lot, row)));
-    let best = lots.max_by_key(|(lot, row)| {
-        endivedyke::bytes_hash(format!("{opener_hash} {} {lot}", row.target).as_bytes())
+        .flat_map(|row| (0..row.weight).map(move |copy| (copy, row)));
+    let best = copies.max_by_key(|(copy, row)| {
+        endivedyke::bytes_hash(format!("{opener_hash} {} {copy}", row.target).as_bytes())
     });
     best.map(|(_, row)| row.target.as_str())
 }
 
-fn shares(table: &Table, draw: impl Fn(u64) -> Option<String>, openers: u64) -> Vec<f64> {
+/// Returns the share of random openers that each target gets.
+fn shares(table: &Table, choose: impl Fn(u64) -> Option<String>, openers: u64) -> Vec<f64> {
     let mut random = StdRng::seed_from_u64(11);
     let mut counts = vec![0u64; table.rows.len()];
     for _ in 0..openers {
-        let target = draw(random.random()).expect("an owner");
+        let target = choose(random.random()).expect("an owner");
         let index = table.rows.iter().position(|row| row.target == target);
         counts[index.expect("a row")] += 1;
     }
--- a/tests/revisions.rs
+++ b/tests/revisions.rs
@@ -1,5 +1,4 @@
-//! Values in force never go back to an older revision, in whatever order and by whatever way they
-//! arrive.
+//! Values in force never go back to an older revision, whatever the order of arrival and the source.
 
 mod common;
 
