--- a/tests/opaque/backend_process.rs
+++ b/tests/opaque/backend_process.rs
@@ -1,4 +1,6 @@
-//! The agent's view of its backend server's process: failing and restarted.
+//! An agent's view of its backend server's process. A server that ends flows without answers counts as
+//! failing and gets only a few openers, as probes. Flows of a server process that ended are reset once
+//! the next one is published.
 
 use endivedyke::opaque::{Action, Backend, BackendState, Message, MessageKind};
 
@@ -7,7 +9,7 @@
     reaches_backend, request, resets,
 };
 
-/// Opens a flow, sends a request on it and lets the backend server end it with or without an
+/// Opens a flow, sends a request on it and ends it from the backend server's side, with or without an
 /// answer.
 fn open_and_end_request(agent: &mut AgentUnderTest, port: u16, answered: bool) {
     let key = flow(port);
--- a/tests/opaque/declines.rs
+++ b/tests/opaque/declines.rs
@@ -110,20 +110,20 @@
     }
     let (key, mut suspicion) = (flow(1), Suspicion::default());
     let first = balancer.handle(&directory, &mut suspicion, opener(&key, 0), 1_100);
-    let mut asked = vec![host_and_load(first.ok())];
-    while let Some((last, 200)) = asked.last().copied() {
+    let mut offered = vec![host_and_load(first.ok())];
+    while let Some((last, 200)) = offered.last().copied() {
         let next = balancer.handle_decline(&directory, &suspicion, &key, last, 1_101);
-        asked.push(host_and_load(next));
+        offered.push(host_and_load(next));
     }
-    assert_eq!(asked.len(), 4, "{asked:?}");
+    assert_eq!(offered.len(), 4, "{offered:?}");
     assert_eq!(
-        asked[3].1, UNKNOWN_LOAD_PERMILLE,
+        offered[3].1, UNKNOWN_LOAD_PERMILLE,
         "the last agent can't decline"
     );
-    let mut hosts: Vec<Ipv4Addr> = asked.iter().map(|(host, _)| *host).collect();
+    let mut hosts: Vec<Ipv4Addr> = offered.iter().map(|(host, _)| *host).collect();
     hosts.sort_unstable();
     hosts.dedup();
-    assert_eq!(hosts.len(), 4, "{asked:?}");
+    assert_eq!(hosts.len(), 4, "{offered:?}");
 }
 
 #[test]
@@ -140,10 +140,7 @@
     let (third, _) = host_and_load(actions.into_iter().next());
     assert!(third != first && third != second);
     let again = balancer.handle_decline(&directory, &suspicion, &key, first, 1_202);
-    assert_eq!(
-        again, None,
-        "a late answer of an agent that was asked before"
-    );
+    assert_eq!(again, None, "a late decline of an earlier agent is ignored");
 }
 
 /// Returns the mean load in the opener that a balancer sends after agents reported these loads.
--- a/tests/opaque/evacuation.rs
+++ b/tests/opaque/evacuation.rs
@@ -73,7 +73,7 @@
         201,
         10,
     );
-    // An entry that lapses and comes back is still in its zone.
+    // An entry that lapses and is published again is still in its zone.
     remove_entry(&mut directory, 1, 202, 20);
     directory.expire(1_000, 1_000);
     assert_eq!(hosts_taking_flows(&directory), [host(2)]);
@@ -166,16 +166,16 @@
 }
 
 #[test]
-fn lookups_ask_the_server_that_a_flow_was_placed_at_before_its_evacuation() {
-    // More agents than a lookup asks at once.
+fn lookups_first_query_the_server_that_a_flow_was_placed_at_before_its_evacuation() {
+    // More agents than a lookup queries at once.
     let count = 60;
-    let mut asked_first = 0;
+    let mut queried_first = 0;
     for port in 1..=40 {
         let mut site = directory(count);
         let placed = forwarded_to(&send(&site, opener(&flow(port), 0)).expect("sent"));
         let index = index_of(placed);
         if index == 1 {
-            asked_first += 1;
+            queried_first += 1;
             continue;
         }
         publish(
@@ -190,10 +190,10 @@
         agent.directory = site;
         agent.now_ms = FLOW_LIFETIME_MS / 2;
         let actions = agent.deliver(&request(&flow(port), 501));
-        let asked = receivers(&actions, MessageKind::Find);
-        asked_first += usize::from(asked.contains(&placed));
+        let queried = receivers(&actions, MessageKind::Find);
+        queried_first += usize::from(queried.contains(&placed));
     }
-    assert_eq!(asked_first, 40);
+    assert_eq!(queried_first, 40);
 }
 
 /// Returns one state of an evacuation as a read returns it.
--- a/tests/opaque/flow_agent.rs
+++ b/tests/opaque/flow_agent.rs
@@ -1,4 +1,5 @@
-//! The handling of packets by an agent.
+//! The handling of packets by an agent. It resets a flow only on proof that no backend server holds
+//! it.
 
 use endivedyke::ServiceId;
 use endivedyke::opaque::{AgentIdentity, BackendState, Message, MessageKind};
@@ -125,7 +126,7 @@
 }
 
 #[test]
-fn a_silent_agent_prevents_a_reset_and_is_asked_again() {
+fn a_silent_agent_prevents_a_reset_and_is_queried_again() {
     let mut agent = AgentUnderTest::new(3, true);
     agent.deliver(&request(&flow(1), 7));
     agent.deliver_answer(MessageKind::Absent, host(2), &flow(1));
@@ -153,13 +154,13 @@
 #[test]
 fn a_restarted_agent_tries_its_backend_server_before_it_answers_absent() {
     let mut agent = AgentUnderTest::new(2, false);
-    let asked = agent.deliver_message(
+    let queried = agent.deliver_message(
         host(2),
         Message::new(MessageKind::Find),
         &request(&flow(1), 7),
     );
-    assert!(reaches_backend(&asked));
-    assert!(receivers(&asked, MessageKind::Absent).is_empty());
+    assert!(reaches_backend(&queried));
+    assert!(receivers(&queried, MessageKind::Absent).is_empty());
     let returned = agent.deliver_from_backend(returned_packet(request(&flow(1), 7)));
     assert_eq!(receivers(&returned, MessageKind::Absent), [host(2)]);
     // A second lookup is answered from the agent's records, so that the packet reaches the server
@@ -357,9 +358,9 @@
         agent.acknowledge_from_backend(&key);
     }
     let find = Message::new(MessageKind::Find);
-    let asked = agent.deliver_message(host(2), find, &request(&flow(40_000), 7));
-    assert!(receivers(&asked, MessageKind::Absent).is_empty());
-    assert!(reaches_backend(&asked));
+    let queried = agent.deliver_message(host(2), find, &request(&flow(40_000), 7));
+    assert!(receivers(&queried, MessageKind::Absent).is_empty());
+    assert!(reaches_backend(&queried));
 }
 
 #[test]
--- a/tests/opaque/lifetimes.rs
+++ b/tests/opaque/lifetimes.rs
@@ -1,5 +1,5 @@
-//! Lifetimes of backend servers, told apart by id and start time. A server that restarts under its
-//! id holds no flows from before.
+//! Lifetimes of backend servers, which are distinguished by id and start time. A server that restarts
+//! under its id holds no flows from before, so these are reset.
 
 use endivedyke::Revision;
 use endivedyke::opaque::{Backend, BackendState, Directory};
--- a/tests/opaque/message_bounds.rs
+++ b/tests/opaque/message_bounds.rs
@@ -172,9 +172,9 @@
             let first = site.first_choice(opener(&key, 0));
             let holder = site.deliver(first, &opener(&key, 0)).expect("taken");
             site.open(&key, holder);
-            let asked = host(1 + (index_of(holder) + 2) % size);
+            let lookup_host = host(1 + (index_of(holder) + 2) % size);
             site.messages = 0;
-            let found = site.deliver(asked, &request(&key, 501));
+            let found = site.deliver(lookup_host, &request(&key, 501));
             assert_eq!(found, Some(holder), "{size}, flow {port}");
             let messages = site.messages as f64;
             assert!(
@@ -182,7 +182,7 @@
                 "{size}: {messages}"
             );
             site.messages = 0;
-            let found = site.deliver(asked, &request(&key, 501));
+            let found = site.deliver(lookup_host, &request(&key, 501));
             assert_eq!(found, Some(holder), "{size}, flow {port}");
             assert!(site.messages as f64 <= bound("opaque_messages_a_packet_held_elsewhere"));
         }
@@ -198,11 +198,11 @@
             let holder = site.agent_in_order(&key, place);
             site.deliver(holder, &opener(&key, 0));
             site.open(&key, holder);
-            let asked = site.first_choice(request(&key, 501));
+            let lookup_host = site.first_choice(request(&key, 501));
             site.messages = 0;
-            let mut found = site.deliver(asked, &request(&key, 501));
+            let mut found = site.deliver(lookup_host, &request(&key, 501));
             for elapsed_ms in [20, 200, 200] {
-                found = found.or_else(|| site.tick_after(elapsed_ms, asked));
+                found = found.or_else(|| site.tick_after(elapsed_ms, lookup_host));
             }
             assert_eq!(found, Some(holder), "{size}, place {place}");
             let messages = site.messages as f64;
@@ -222,10 +222,10 @@
         let holder = host(size);
         site.deliver(holder, &opener(&key, 0));
         site.open(&key, holder);
-        let asked = host(1);
+        let lookup_host = host(1);
         site.messages = 0;
-        let first = site.deliver(asked, &request(&key, 501));
-        let found = first.or_else(|| site.tick_after(20, asked));
+        let first = site.deliver(lookup_host, &request(&key, 501));
+        let found = first.or_else(|| site.tick_after(20, lookup_host));
         assert_eq!(found, Some(holder), "{size}");
         let each = site.messages as f64 / f64::from(size);
         assert!(
--- a/tests/opaque/model.rs
+++ b/tests/opaque/model.rs
@@ -103,30 +103,43 @@
     balancer: Forwarder,
     in_flight: Vec<InFlight>,
     now_ms: u64,
+    /// The time of each flow's first opener, in milliseconds.
     first_opener_ms: Vec<(FlowKey, u64)>,
+    /// Flows that a backend server accepted, with the sequence number of the first acceptance.
     accepted: Vec<(FlowKey, u32)>,
+    /// Flows on which callers have sent a request.
     used: Vec<FlowKey>,
+    /// Flows that were reset while a backend server held them.
     wrong_resets: Vec<FlowKey>,
 }
 
 #[derive(Debug, Clone)]
 enum Event {
+    /// A caller sends an opener from a port.
     Open(u16),
+    /// A caller sends a request on the flow from a port.
     Request(u16),
+    /// A datagram in flight, at this index modulo their number, is delivered.
     Deliver(usize),
+    /// Such a datagram is lost.
     Lose(usize),
+    /// Such a datagram is duplicated.
     Double(usize),
     RestartBalancer,
     RestartAgent(u16),
     RestartBackend(u16),
     StopBackend(u16),
+    /// A backend server that has stopped refuses a connection of its agent.
     Refuse(u16),
+    /// This many milliseconds pass.
     Pass(u64),
     /// An opener reaches an agent that was chosen by an older table.
     OpenAt(u16, u16),
     /// Everything in flight is delivered, with the messages that follow from it.
     DeliverAll,
+    /// A network partition begins, with the fields of [`Partition`].
     Cut(u16, bool),
+    /// The network partition ends.
     Heal,
     /// The platform is restored from a copy without the entry of this backend server.
     Restore(u16),
--- a/tests/opaque/offers.rs
+++ b/tests/opaque/offers.rs
@@ -101,7 +101,7 @@
     let mut order = vec![first];
     for _ in 0..4 {
         let (next, _) = probe.decline(&flow(1), order[order.len() - 1], 60);
-        assert!(!order.contains(&next), "{next} was asked twice");
+        assert!(!order.contains(&next), "{next} got two offers");
         order.push(next);
     }
     let mut balancer = Balancer::with_agents(8);
--- a/tests/opaque/opened_flows.rs
+++ b/tests/opaque/opened_flows.rs
@@ -18,7 +18,7 @@
     notices.count()
 }
 
-/// Delivers a packet of a flow that the balancer knows to have opened at the agent.
+/// Delivers a packet that the balancer marked as one of a flow that has opened at the agent.
 fn deliver_opened(agent: &mut AgentUnderTest, packet: &[u8]) -> Vec<Action> {
     let mut message = Message::new(MessageKind::Deliver);
     message.host = BALANCER;
--- a/tests/opaque/outcomes.rs
+++ b/tests/opaque/outcomes.rs
@@ -1,4 +1,5 @@
-//! The ends of requests that count as failures of a backend server, on routes with a deadline.
+//! The ends of requests that count as failures of a backend server, on routes with a deadline. If ends
+//! that callers caused counted too, an agent would take a working server for a failing one.
 
 use crate::builder::{
     ACK, AgentUnderTest, FIN, PacketSpec, RST, flow, from_backend, from_caller, opener,
--- a/tests/opaque/queue_model.rs
+++ b/tests/opaque/queue_model.rs
@@ -47,13 +47,22 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
+    /// New calls arrive.
     Arrival,
+    /// A caller sends a copy of its opener: port and number of the copy.
     Copy(u16, u32),
+    /// An agent gets a message: receiver, sender and datagram.
     ToAgent(Ipv4Addr, Ipv4Addr, Vec<u8>),
+    /// A balancer gets a message: sender and datagram.
     ToBalancer(Ipv4Addr, Vec<u8>),
+    /// A caller gets an acceptance: port and server.
     Accepted(u16, Ipv4Addr),
+    /// A caller gets a reset of the flow from a port.
     Refused(u16),
+    /// A server finishes a request: index of the server, port of the flow, and the lifetime in which the
+    /// request started.
     Done(u16, u16, u32),
+    /// A caller sends the next request on the flow from a port.
     NextRequest(u16),
     Tick,
     Heartbeat,
--- a/tests/opaque/restarts.rs
+++ b/tests/opaque/restarts.rs
@@ -1,5 +1,5 @@
-//! Requests of flows that are older than their agent, for callers that have time for one attempt
-//! only.
+//! Requests on flows that are older than their agent, of callers that have time for one attempt only.
+//! Copies of requests that were already answered must not count as busy.
 
 use endivedyke::opaque::{FlowKey, Message, MessageKind};
 
--- a/tests/opaque/restored_platform.rs
+++ b/tests/opaque/restored_platform.rs
@@ -160,7 +160,7 @@
         Some(RestorationEvent::Settled)
     );
     assert_eq!(restoration.observe_era(1, 9_000), None);
-    // Another restore during the settling time starts it anew.
+    // Another restore during the settling time restarts it.
     restoration.observe_era(2, 10_000);
     assert_eq!(
         restoration.observe_era(3, 11_000),
--- a/tests/opaque/startup_backoff.rs
+++ b/tests/opaque/startup_backoff.rs
@@ -1,4 +1,4 @@
-//! How often processes without a configuration read a platform that is unreachable.
+//! The backoff with which processes without a configuration read an unreachable platform.
 
 use endivedyke::opaque::StartupBackoff;
 
--- a/tests/opaque/unpublished_servers.rs
+++ b/tests/opaque/unpublished_servers.rs
@@ -26,8 +26,8 @@
     RefusedThenAccepted,
 }
 
-/// Returns the agent on host 1, which knows a route to its service and the entry of the server on
-/// host 2, but no entry of its own server.
+/// Returns the agent on host 1, whose directory has a route to its service and the entry of the server
+/// on host 2, but no entry of its own server.
 fn agent(seen: Seen) -> AgentUnderTest {
     let mut agent = AgentUnderTest::new(1, false);
     agent.directory = Directory::default();
@@ -178,7 +178,7 @@
 fn a_server_whose_entry_was_overwritten_takes_no_flow() {
     for seen in [Seen::Accepted, Seen::RefusedThenAccepted] {
         let mut agent = agent(seen);
-        // No process knows whose entry it is, as none has read it while it was valid.
+        // No process has read the entry while it was valid, so its owner is unknown.
         overwrite_entry(&mut agent.directory, 1, 9, agent.now_ms);
         assert!(!takes_opener(&mut agent, 1), "{seen:?}");
         publish_own(&mut agent, BackendState::Ready);
--- a/tests/stall.rs
+++ b/tests/stall.rs
@@ -1,4 +1,5 @@
-//! A backend server that answers nothing for long enough is stalled, and no other one.
+//! A backend server that takes requests and answers none for a minimum time is stalled. Servers that
+//! are slow, idle, failing or just started are not, as a false stall would reset sound flows.
 
 use endivedyke::{
     MIN_STALL_SILENCE_MS, RECOVERY_RAMP_MS, STALL_CHECK_INTERVAL_MS, STALL_PROBE_TIMEOUT_MS,
@@ -7,18 +8,23 @@
 use proptest::prelude::*;
 
 const SLOTS: u32 = 2;
-/// The usual time of an answer, in milliseconds.
-const USUAL_MS: u64 = 40;
-/// The end of the answers of [`answering`], in milliseconds.
+/// The usual time until an answer, in milliseconds.
+const USUAL_ANSWER_MS: u64 = 40;
+/// The time of the last answers of [`detector_with_answers`], in milliseconds.
 const BEGIN_MS: u64 = 5_000;
 /// The interval of requests, in milliseconds.
 const REQUEST_INTERVAL_MS: u64 = 50;
 
 /// Returns the detector of a backend server that answered in the usual time until [`BEGIN_MS`].
-fn answering() -> StallDetector<u64> {
+fn detector_with_answers() -> StallDetector<u64> {
     let mut detector = StallDetector::new();
     for flow in 0..BEGIN_MS / REQUEST_INTERVAL_MS {
-        answer_one(&mut detector, flow, flow * REQUEST_INTERVAL_MS, USUAL_MS);
+        answer_one(
+            &mut detector,
+            flow,
+            flow * REQUEST_INTERVAL_MS,
+            USUAL_ANSWER_MS,
+        );
     }
     detector
 }
@@ -65,7 +71,7 @@
 
 #[test]
 fn a_backend_server_that_accepts_requests_and_answers_none_is_stalled() {
-    let mut detector = answering();
+    let mut detector = detector_with_answers();
     let after_ms = stalled_after(&mut detector, 5_000, |detector, step| {
         detector.record_request(step.at_ms, true, step.at_ms);
     });
@@ -84,7 +90,7 @@
 
 #[test]
 fn one_answer_ends_a_stall_and_ramps_the_limit_up_from_one() {
-    let mut detector = answering();
+    let mut detector = detector_with_answers();
     let after_ms = stalled_after(&mut detector, 5_000, |detector, step| {
         detector.record_request(step.at_ms, true, step.at_ms);
     });
@@ -120,7 +126,7 @@
 
 #[test]
 fn answers_to_requests_from_before_a_recovery_do_not_delay_the_next_detection() {
-    let mut detector = answering();
+    let mut detector = detector_with_answers();
     let hang = |detector: &mut StallDetector<u64>, step: Step| {
         detector.record_request(step.at_ms, true, step.at_ms);
     };
@@ -144,7 +150,7 @@
 
 #[test]
 fn refusals_of_a_full_queue_do_not_hide_a_stall() {
-    let mut detector = answering();
+    let mut detector = detector_with_answers();
     let after_ms = stalled_after(&mut detector, 5_000, |detector, step| {
         let flow = step.at_ms;
         detector.record_request(flow, true, step.at_ms);
@@ -157,7 +163,7 @@
 
 #[test]
 fn a_backend_server_that_fails_all_requests_quickly_is_not_stalled() {
-    let mut detector = answering();
+    let mut detector = detector_with_answers();
     let stalled = stalled_after(&mut detector, 20_000, |detector, step| {
         detector.record_request(step.at_ms, true, step.at_ms);
         detector.remove_request(step.at_ms.saturating_sub(2 * REQUEST_INTERVAL_MS));
@@ -167,7 +173,7 @@
 
 #[test]
 fn a_stalled_backend_server_is_probed_with_one_request_at_a_time() {
-    let mut detector = answering();
+    let mut detector = detector_with_answers();
     let after_ms = stalled_after(&mut detector, 5_000, |detector, step| {
         detector.record_request(step.at_ms, true, step.at_ms);
     });
@@ -183,7 +189,7 @@
 
 #[test]
 fn a_few_slow_requests_are_no_stall_while_others_are_answered() {
-    let mut detector = answering();
+    let mut detector = detector_with_answers();
     for flow in 0..8 {
         detector.record_request(flow, true, BEGIN_MS);
     }
@@ -199,7 +205,7 @@
 #[test]
 fn fewer_requests_than_slots_or_than_three_are_no_stall() {
     for (slots, waiting, is_stall) in [(1, 2, false), (1, 3, true), (8, 7, false), (8, 8, true)] {
-        let mut detector = answering();
+        let mut detector = detector_with_answers();
         let mut stalled = false;
         for passed_ms in (0..4_000).step_by(STALL_CHECK_INTERVAL_MS as usize) {
             let at_ms = BEGIN_MS + passed_ms;
@@ -217,7 +223,7 @@
 
 #[test]
 fn requests_of_one_flow_are_no_stall() {
-    let mut detector = answering();
+    let mut detector = detector_with_answers();
     let stalled = stalled_after(&mut detector, 10_000, |detector, step| {
         detector.record_request(7, true, step.at_ms);
     });
@@ -226,7 +232,7 @@
 
 #[test]
 fn neither_idleness_nor_the_first_requests_after_it_are_a_stall() {
-    let mut detector = answering();
+    let mut detector = detector_with_answers();
     assert_eq!(stalled_after(&mut detector, 20_000, |_, _| {}), None);
     let at_ms = BEGIN_MS + 20_000;
     for flow in 0..10 {
@@ -239,7 +245,7 @@
 
 #[test]
 fn silence_without_further_arrivals_is_no_stall() {
-    let mut detector = answering();
+    let mut detector = detector_with_answers();
     let stalled = stalled_after(&mut detector, 20_000, |detector, step| {
         if step.passed_ms == 0 {
             (0..20).for_each(|flow| detector.record_request(flow, true, step.at_ms));
@@ -254,7 +260,7 @@
         detector.record_request(step.at_ms, true, step.at_ms);
     };
     assert_eq!(stalled_after(&mut StallDetector::new(), 9_000, hang), None);
-    let mut detector = answering();
+    let mut detector = detector_with_answers();
     detector.reset();
     assert_eq!(
         stalled_after(&mut detector, 9_000, hang),
@@ -265,14 +271,14 @@
 
 #[test]
 fn incomplete_uploads_are_no_stall() {
-    let mut detector = answering();
+    let mut detector = detector_with_answers();
     let stalled = stalled_after(&mut detector, 20_000, |detector, step| {
         let flow = step.at_ms;
         detector.record_request(flow, true, step.at_ms);
         detector.record_request(flow, true, step.at_ms);
     });
     assert_eq!(stalled, None, "several packets of an upload");
-    let stalled = stalled_after(&mut answering(), 20_000, |detector, step| {
+    let stalled = stalled_after(&mut detector_with_answers(), 20_000, |detector, step| {
         detector.record_request(step.at_ms, false, step.at_ms);
     });
     assert_eq!(stalled, None, "a packet after which more may follow");
@@ -280,7 +286,7 @@
 
 #[test]
 fn requests_that_callers_gave_up_are_no_stall() {
-    let mut detector = answering();
+    let mut detector = detector_with_answers();
     let stalled = stalled_after(&mut detector, 20_000, |detector, step| {
         detector.record_request(step.at_ms, true, step.at_ms);
         detector.remove_request(step.at_ms.saturating_sub(500));
@@ -290,7 +296,7 @@
 
 #[test]
 fn answers_somewhat_slower_than_recent_ones_are_no_stall() {
-    let mut detector = answering();
+    let mut detector = detector_with_answers();
     answer_one(&mut detector, 1, BEGIN_MS, 200);
     for passed_ms in (0..2_000).step_by(REQUEST_INTERVAL_MS as usize) {
         detector.check(SLOTS, BEGIN_MS + 200 + passed_ms);
@@ -314,7 +320,7 @@
 
 #[test]
 fn a_pause_of_the_agent_restarts_the_measurement() {
-    let mut detector = answering();
+    let mut detector = detector_with_answers();
     for flow in 0..10 {
         detector.record_request(flow, true, BEGIN_MS + flow);
     }
@@ -323,7 +329,7 @@
     for passed_ms in (0..9_000).step_by(STALL_CHECK_INTERVAL_MS as usize) {
         assert_eq!(detector.check(SLOTS, resumed_ms + passed_ms), None);
     }
-    let mut detector = answering();
+    let mut detector = detector_with_answers();
     let after_ms = stalled_after(&mut detector, 5_000, |detector, step| {
         detector.record_request(step.at_ms, true, step.at_ms);
     });
@@ -336,7 +342,7 @@
     detector.check(SLOTS, resumed_ms);
     assert!(!detector.is_stalled(resumed_ms));
     for pause_ms in [400, 700, 5_000] {
-        let mut detector = answering();
+        let mut detector = detector_with_answers();
         let mut at_ms = BEGIN_MS;
         for step in 0..200 {
             detector.record_request(at_ms, true, at_ms);
@@ -352,7 +358,7 @@
 
 /// Replays requests, each with its start and duration, and returns whether a stall was detected.
 fn detects_stall(requests: &[(u64, u64)], slots: u32) -> bool {
-    let mut detector = answering();
+    let mut detector = detector_with_answers();
     let mut events: Vec<(u64, bool, u64)> = Vec::new();
     for (flow, (at_ms, took_ms)) in requests.iter().enumerate() {
         events.push((BEGIN_MS + at_ms, true, 10_000 + flow as u64));
