--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -19,6 +19,7 @@
     }
 }
 
+/// Returns the admission of a target with this many open flows.
 fn admission_with(flows: u32) -> Admission {
     let mut admission = Admission::warm(host(0));
     (0..flows).for_each(|_| admission.flow_opened());
@@ -36,6 +37,7 @@
 const NOW_MS: u64 = 100_000;
 const STALE_MS: u64 = REPORT_MAX_AGE_MS + 1;
 
+/// Returns the decision of a target with this many open flows about an opener.
 fn decide(flows: u32, table: &Table, peers: &[u32], opener: &Opener) -> Decision {
     let mut random = StdRng::seed_from_u64(1);
     admission_with(flows).decide(opener, table, &mut peer_loads(peers), NOW_MS, &mut random)
--- a/tests/early_openers.rs
+++ b/tests/early_openers.rs
@@ -2,6 +2,7 @@
 
 use endivedyke::{EarlyOpener, EarlyOpeners};
 
+/// Returns the packets of openers in their order.
 fn packets(early: &[EarlyOpener<&'static str>]) -> Vec<&'static str> {
     early.iter().map(|opener| opener.packet).collect()
 }
--- a/tests/offers.rs
+++ b/tests/offers.rs
@@ -47,6 +47,7 @@
         self.candidate(true, Some(wait_ms), true)
     }
 
+    /// Returns the host index of the next agent, and whether it may decline.
     fn next_step(&self) -> Option<(u8, bool)> {
         match next_offer(&self.candidates)? {
             Offer::MayDecline(host, _) => Some((host.octets()[3], true)),
--- a/tests/opaque/declines.rs
+++ b/tests/opaque/declines.rs
@@ -25,6 +25,7 @@
     agent
 }
 
+/// Advances the time, with a sample of the load before and after.
 fn advance(agent: &mut AgentUnderTest, for_ms: u64) {
     agent.sample_load();
     agent.now_ms += for_ms;
--- a/tests/opaque/forwarder.rs
+++ b/tests/opaque/forwarder.rs
@@ -325,6 +325,7 @@
     }
 }
 
+/// Returns the wait of the caller that a balancer sends with an opener.
 fn waited_ms(balancer: &mut Forwarder, packet: Vec<u8>, now_ms: u64) -> u16 {
     let mut suspicion = Suspicion::default();
     let action = balancer.handle(&directory(5), &mut suspicion, packet, now_ms);
--- a/tests/opaque/lookup.rs
+++ b/tests/opaque/lookup.rs
@@ -9,6 +9,7 @@
 /// The agents that likely hold the flow.
 const LIKELY: [u16; 3] = [7, 3, 9];
 
+/// Starts a lookup on a site with this many hosts, and returns the agents that are queried at once.
 fn start_lookup(lookups: &mut Lookups, hosts: u16) -> Vec<std::net::Ipv4Addr> {
     let packet = request(&flow(1), 42);
     let segment = (WIRE.decode)(&packet).expect("sound packet");
--- a/tests/opaque/offers.rs
+++ b/tests/opaque/offers.rs
@@ -27,6 +27,7 @@
         }
     }
 
+    /// Forwards a copy of an opener, and returns the receiver and kind of the message.
     fn send_opener(&mut self, key: &FlowKey, copy: u32) -> (Ipv4Addr, MessageKind) {
         let packet = opener(key, copy);
         let (directory, suspicion) = (&self.directory, &mut self.suspicion);
@@ -36,6 +37,7 @@
         sent(&action.expect("forwarded"))
     }
 
+    /// Delivers an agent's decline with its wait, and returns the receiver and kind of the next message.
     fn decline(&mut self, key: &FlowKey, from: Ipv4Addr, wait_ms: u16) -> (Ipv4Addr, MessageKind) {
         let (directory, now_ms) = (&self.directory, self.now_ms);
         self.forwarder.record_wait(directory, from, wait_ms, now_ms);
@@ -55,12 +57,14 @@
         assert!(result.is_err(), "no flow opens without a configuration");
     }
 
+    /// Offers the buffered openers, as once there is a configuration.
     fn offer_early(&mut self) -> Vec<Action> {
         let (directory, suspicion) = (&self.directory, &mut self.suspicion);
         self.forwarder
             .offer_early_openers(directory, suspicion, self.now_ms)
     }
 
+    /// Advances the time, and returns the receivers and kinds of the messages that are due.
     fn advance(&mut self, ms: u64) -> Vec<(Ipv4Addr, MessageKind)> {
         self.now_ms += ms;
         let (directory, suspicion) = (&self.directory, &mut self.suspicion);
--- a/tests/opaque/restored_platform.rs
+++ b/tests/opaque/restored_platform.rs
@@ -181,6 +181,7 @@
 }
 
 impl PlatformModel {
+    /// Writes the newest version at the next revision.
     fn write(&mut self) {
         self.number += 1;
         self.published = Some(PublishedValue {
@@ -190,6 +191,7 @@
         });
     }
 
+    /// Restores the platform from its copy, which begins a new era.
     fn restore(&mut self) {
         if let Some((number, published)) = self.copy.clone() {
             self.number = number;
@@ -198,6 +200,7 @@
         }
     }
 
+    /// Returns the result of a read.
     fn batch(&self) -> Batch {
         Batch {
             revision: revision(self.era, self.number),
@@ -238,6 +241,7 @@
 
 const PROCESSES: usize = 4;
 
+/// Applies the result of a read to the store of a process.
 fn read(store: &mut ConfigStore, batch: &Batch) {
     for state in new_values(store, batch) {
         store
@@ -246,6 +250,7 @@
     }
 }
 
+/// Pulls the routes from one process to another, if they are new there.
 fn pull(stores: &mut [ConfigStore], from: usize, to: usize) {
     let wanted = stores[from]
         .changes_since(Revision::ZERO)
--- a/tests/table.rs
+++ b/tests/table.rs
@@ -8,6 +8,7 @@
 
 const VALID_ROW: &str = "front,192.0.2.1:443,a,10.0.0.1,10.0.0.1:80,100,4,2000";
 
+/// Returns the error of a table with these rows.
 fn parse_error(rows: &[&str]) -> endivedyke::Error {
     let text = format!("{TABLE_HEADER}\n{}\n", rows.join("\n"));
     parse_tables(&text).expect_err("invalid table")
