--- a/tests/offers.rs
+++ b/tests/offers.rs
@@ -47,6 +47,7 @@
         self.candidate(true, Some(wait_ms), true)
     }
 
+    /// Returns the host index of the next agent, and whether it may decline.
     fn next_step(&self) -> Option<(u8, bool)> {
         match next_offer(&self.candidates)? {
             Offer::MayDecline(host, _) => Some((host.octets()[3], true)),
@@ -146,7 +147,7 @@
     assert!(waits.mean_wait_ms(true, 1_000) > 95.0);
     assert!(
         waits.mean_wait_ms(true, 1_400) < 30.0,
-        "the rush may be over"
+        "the load peak may be over"
     );
     assert!(
         waits.mean_wait_ms(false, 1_000) < 1.0,
--- a/tests/opaque/backend_process.rs
+++ b/tests/opaque/backend_process.rs
@@ -1,4 +1,6 @@
-//! The agent's view of its backend server's process: failing and restarted.
+//! An agent's view of its backend server's process. A server that ends flows without answers counts as
+//! failing and gets only a few openers, as probes. Flows of a server process that ended are reset once
+//! the next one is published.
 
 use endivedyke::opaque::{Action, Backend, BackendState, Message, MessageKind};
 
@@ -7,7 +9,7 @@
     reaches_backend, request, resets,
 };
 
-/// Opens a flow, sends a request on it and lets the backend server end it with or without an
+/// Opens a flow, sends a request on it and ends it from the backend server's side, with or without an
 /// answer.
 fn open_and_end_request(agent: &mut AgentUnderTest, port: u16, answered: bool) {
     let key = flow(port);
@@ -46,7 +48,10 @@
     let mut message = Message::new(MessageKind::HandOn);
     message.hops = 2;
     let actions = agent.deliver_message(host(2), message, &opener(&flow(160), 0));
-    assert!(reaches_backend(&actions), "the other agents were no better");
+    assert!(
+        reaches_backend(&actions),
+        "two other agents have handed it on"
+    );
     for port in 200..220 {
         agent.now_ms += 250;
         open_and_end_request(&mut agent, port, true);
--- a/tests/opaque/forwarder.rs
+++ b/tests/opaque/forwarder.rs
@@ -237,8 +237,8 @@
         .filter(|index| index % 3 == 0)
         .map(|index| counts[index])
         .sum();
-    // All but (6·5·4·3) / (9·8·7·6) of the openers have an agent of the zone among their first four by
-    // hash.
+    // All but (6·5·4·3) / (9·8·7·6) of the openers have an agent of the zone among their first four
+    // by hash.
     assert!((7_800..8_060).contains(&near), "{counts:?}");
     let is_even = |share: u32, index: usize| counts[index].abs_diff(share) < share / 5;
     assert!(
@@ -325,6 +325,7 @@
     }
 }
 
+/// Returns the wait of the caller that a balancer sends with an opener.
 fn waited_ms(balancer: &mut Forwarder, packet: Vec<u8>, now_ms: u64) -> u16 {
     let mut suspicion = Suspicion::default();
     let action = balancer.handle(&directory(5), &mut suspicion, packet, now_ms);
--- a/tests/opaque/lookup.rs
+++ b/tests/opaque/lookup.rs
@@ -9,6 +9,7 @@
 /// The agents that likely hold the flow.
 const LIKELY: [u16; 3] = [7, 3, 9];
 
+/// Starts a lookup on a site with this many hosts, and returns the agents that are queried at once.
 fn start_lookup(lookups: &mut Lookups, hosts: u16) -> Vec<std::net::Ipv4Addr> {
     let packet = request(&flow(1), 42);
     let segment = (WIRE.decode)(&packet).expect("sound packet");
@@ -152,8 +153,8 @@
     }
 }
 
-// After a restart of all processes, agents are too busy to answer at once. Repeated queries at a fixed
-// interval would keep them busy for as long as callers with a deadline wait.
+// After a restart of all processes, agents are too busy to answer at once. Repeated queries at a
+// fixed interval would keep them busy for as long as callers with a deadline wait.
 #[test]
 fn with_a_deadline_the_interval_between_retries_doubles() {
     for (has_deadline, expected_ms) in [
--- a/tests/opaque/restored_platform.rs
+++ b/tests/opaque/restored_platform.rs
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn states_are_ordered_by_the_writer_s_version_only_across_eras() {
+fn states_are_ordered_by_their_writers_versions_only_across_eras() {
     // (offered, held, whether offered is after held)
     let cases = [
         (stamp(0, 9, 0), stamp(0, 8, 0), true),
@@ -160,7 +160,7 @@
         Some(RestorationEvent::Settled)
     );
     assert_eq!(restoration.observe_era(1, 9_000), None);
-    // Another restore during the settling time starts it anew.
+    // Another restore during the settling time restarts it.
     restoration.observe_era(2, 10_000);
     assert_eq!(
         restoration.observe_era(3, 11_000),
@@ -181,6 +181,7 @@
 }
 
 impl PlatformModel {
+    /// Writes the newest version at the next revision.
     fn write(&mut self) {
         self.number += 1;
         self.published = Some(PublishedValue {
@@ -190,6 +191,7 @@
         });
     }
 
+    /// Restores the platform from its copy, which begins a new era.
     fn restore(&mut self) {
         if let Some((number, published)) = self.copy.clone() {
             self.number = number;
@@ -198,6 +200,7 @@
         }
     }
 
+    /// Returns the result of a read.
     fn batch(&self) -> Batch {
         Batch {
             revision: revision(self.era, self.number),
@@ -238,6 +241,7 @@
 
 const PROCESSES: usize = 4;
 
+/// Applies the result of a read to the store of a process.
 fn read(store: &mut ConfigStore, batch: &Batch) {
     for state in new_values(store, batch) {
         store
@@ -246,6 +250,7 @@
     }
 }
 
+/// Pulls the routes from one process to another, if they are new there.
 fn pull(stores: &mut [ConfigStore], from: usize, to: usize) {
     let wanted = stores[from]
         .changes_since(Revision::ZERO)
