--- a/tests/opaque/batch_diff.rs
+++ b/tests/opaque/batch_diff.rs
@@ -1,4 +1,4 @@
-//! Which values of a read of the platform are new, and which are dropped.
+//! Which values of a platform read are new to a store, and which are dropped as outdated.
 
 use endivedyke::opaque::{
     BackendState, Batch, DroppedValue, GONE_TEXT, PublishedValue, dropped_values, new_values,
--- a/tests/opaque/cold_starts.rs
+++ b/tests/opaque/cold_starts.rs
@@ -1,4 +1,4 @@
-//! The rate of new flows that a cold backend server is handed, as set by operators.
+//! The limit that operators set on the rate of new flows of a cold backend server.
 
 use std::net::Ipv4Addr;
 
--- a/tests/opaque/evacuation.rs
+++ b/tests/opaque/evacuation.rs
@@ -1,4 +1,4 @@
-//! Balancers and agents while availability zones are evacuated.
+//! Placement, lookups and resets while availability zones are evacuated.
 
 use std::net::Ipv4Addr;
 
--- a/tests/opaque/offers.rs
+++ b/tests/opaque/offers.rs
@@ -1,4 +1,5 @@
-//! Offers of openers from agent to agent, and the handling of agents that do not answer.
+//! The offers with which a balancer places an opener at the agent with the least wait, and the handling
+//! of agents that do not answer.
 
 use std::net::Ipv4Addr;
 
--- a/tests/opaque/reused_addresses.rs
+++ b/tests/opaque/reused_addresses.rs
@@ -2,9 +2,10 @@
 //! show a previous server there.
 //!
 //! Of the entries at one address, the one with the highest first revision counts. After a restore,
-//! an old entry that a process did not know gets a revision of the new era. An agent took such an
-//! entry for that of its backend server for as long as gone entries are remembered. For a minute it
-//! took no new flows, and it reset flows from before a disconnect that the server still held.
+//! an old entry that a process did not know gets a revision of the new era, so that it would win. An
+//! agent took such an entry for that of its backend server for as long as removed entries are kept: for
+//! a minute it took no new flows, and it reset flows from before a disconnect that the server still
+//! held.
 
 use endivedyke::Revision;
 use endivedyke::opaque::{Backend, BackendState, Directory};
--- a/tests/opaque/stalls.rs
+++ b/tests/opaque/stalls.rs
@@ -1,4 +1,5 @@
-//! Stalls: the backend server takes requests and serves none.
+//! Stalls: the backend server takes requests and answers none. If callers have time for one attempt
+//! only, its agent resets their flows without a running request, so that they open new ones elsewhere.
 
 use endivedyke::opaque::{Action, FlowKey, Message, MessageKind, parse_deadlines};
 use endivedyke::{RECOVERY_RAMP_MS, STALL_CHECK_INTERVAL_MS, STALL_PROBE_TIMEOUT_MS};
