--- a/lab/tests/agent_failures.rs
+++ b/lab/tests/agent_failures.rs
@@ -1,4 +1,4 @@
-//! Agents and backend servers drain, die, freeze, fail and shed.
+//! Callers of a site on which agents and backend servers drain, crash, freeze, fail or shed load.
 
 mod common;
 
@@ -12,37 +12,37 @@
 use http::Method;
 
 #[test]
-fn a_graceful_stop_cuts_no_request_and_no_feed() {
+fn a_graceful_stop_of_an_agent_breaks_no_request_and_no_feed() {
     run(async {
         let mut site = site(3).await;
         let callers = CallerProcess::start(&site, 0, &load(15, 10, 5)).expect("callers");
         sleep_ms(1_500).await;
         let host = site.agent_host(0);
         let before = site.metric(host, "flows_open").await.expect("a metric");
-        assert!(before > 0.0, "the leaving agent has flows");
+        assert!(before > 0.0, "the agent has flows before it is stopped");
         site.agent(0)
             .expect("runs")
             .terminate()
-            .expect("takes the signal");
+            .expect("gets the signal");
         sleep_ms(500).await;
         let accepted = site
             .metric(host, "flows_accepted_total")
             .await
-            .expect("drains on");
-        let tally = callers.finish(&site).await.expect("ends");
-        assert_no_visible_failure(&tally);
+            .expect("still drains");
+        let stats = callers.finish(&site).await.expect("finishes");
+        assert_no_visible_failure(&stats);
         let agent = site.agent(0).expect("runs");
         assert_eq!(
             agent.wait(Duration::from_secs(20)).await,
             Ok(true),
-            "ends in good order"
+            "exits with 0"
         );
         assert!(accepted >= before);
     });
 }
 
 #[test]
-fn a_host_that_leaves_by_the_list_gets_no_new_flow() {
+fn a_host_that_is_leaving_in_the_host_list_gets_no_new_flow() {
     run(async {
         let site = site(2).await;
         let leaving = site.agent_host(0);
@@ -55,44 +55,44 @@
             .expect("in force");
         sleep_ms(200).await;
         let callers = CallerProcess::start(&site, 0, &load(5, 5, 2)).expect("callers");
-        let tally = callers.finish(&site).await.expect("ends");
-        assert_no_visible_failure(&tally);
+        let stats = callers.finish(&site).await.expect("finishes");
+        assert_no_visible_failure(&stats);
         let accepted = site
             .metric(leaving, "flows_accepted_total")
             .await
             .expect("a metric");
-        assert_eq!(accepted, 0.0, "openers are handed on");
+        assert_eq!(accepted, 0.0, "other agents take the openers");
     });
 }
 
 #[test]
-fn a_killed_agent_doubles_and_loses_no_claim() {
+fn killing_an_agent_neither_duplicates_nor_loses_a_claim() {
     run(async {
         let mut site = site(3).await;
         let callers = CallerProcess::start(&site, 0, &load(9, 20, 6)).expect("callers");
         sleep_ms(1_500).await;
         let host = site.agent_host(0);
-        let stood = site.metric(host, "flows_open").await.expect("a metric");
-        site.agent(0).expect("runs").kill().expect("dies");
+        let open_before = site.metric(host, "flows_open").await.expect("a metric");
+        site.agent(0).expect("runs").kill().expect("is killed");
         sleep_ms(1_500).await;
         site.start_agent(0).expect("starts again");
-        let tally = callers.finish(&site).await.expect("ends");
-        assert_no_corruption(&tally);
-        let counts = counts_only(&tally);
+        let stats = callers.finish(&site).await.expect("finishes");
+        assert_no_corruption(&stats);
+        let counts = counts_only(&stats);
         assert!(
-            tally.flows_broken as f64 <= stood,
-            "only flows on the dead one: {counts:?}"
+            stats.flows_broken as f64 <= open_before,
+            "only flows of the killed agent break: {counts:?}"
         );
-        let missing = tally.requests - tally.answered;
+        let missing = stats.requests - stats.answered;
         assert!(
-            missing <= tally.unknown + tally.feeds_broken,
-            "the rest is answered: {counts:?}"
+            missing <= stats.unknown + stats.feeds_broken,
+            "all other requests are answered: {counts:?}"
         );
     });
 }
 
 #[test]
-fn a_frozen_agent_runs_nothing_twice_when_it_thaws() {
+fn a_frozen_agent_executes_no_claim_twice_after_it_resumes() {
     run(async {
         let mut site = site(3).await;
         let callers = CallerProcess::start(&site, 0, &load(0, 20, 9)).expect("callers");
@@ -100,66 +100,67 @@
         site.agent(1).expect("runs").freeze().expect("frozen");
         sleep_ms(3_000).await;
         site.agent(1).expect("runs").thaw().expect("thawed");
-        let tally = callers.finish(&site).await.expect("ends");
-        assert_no_corruption(&tally);
+        let stats = callers.finish(&site).await.expect("finishes");
+        assert_no_corruption(&stats);
         let pauses = site
             .metric(site.agent_host(1), "pauses_total")
             .await
             .expect("a metric");
-        assert!(pauses >= 1.0, "the agent noticed its pause");
+        assert!(pauses >= 1.0, "the agent detects its pause");
     });
 }
 
 #[test]
-fn a_fast_failing_backend_server_attracts_nothing() {
+fn a_fast_failing_backend_server_does_not_attract_requests() {
     run(async {
         let site = site(3).await;
         site.backend_command(0, 0, "mode/fail-fast")
             .await
-            .expect("obeys");
+            .expect("accepts the command");
         let callers = CallerProcess::start(&site, 0, &load(0, 12, 6)).expect("callers");
-        let tally = callers.finish(&site).await.expect("ends");
-        assert_eq!((tally.doubled, tally.lost), (0, 0));
-        // Ten failures to be known, those in flight meanwhile, and one probe a second.
-        let met = (tally.wrong, tally.requests);
-        println!("{} of {} requests met it", met.0, met.1);
-        assert!(tally.wrong <= 30, "{:?}", counts_only(&tally));
+        let stats = callers.finish(&site).await.expect("finishes");
+        assert_eq!((stats.doubled, stats.lost), (0, 0));
+        // Ten failures until it counts as failing, the requests in flight meanwhile, and one probe a
+        // second.
+        let failed = (stats.wrong, stats.requests);
+        println!("{} of {} requests failed", failed.0, failed.1);
+        assert!(stats.wrong <= 30, "{:?}", counts_only(&stats));
         let host = site.agent_host(0);
         let moved = site
             .metric(host, "requests_moved_total")
             .await
             .expect("a metric");
-        assert!(moved > 0.0, "its agent runs requests at peers");
+        assert!(moved > 0.0, "its agent moves requests to peers");
     });
 }
 
 #[test]
-fn a_shedding_backend_server_costs_no_answer() {
+fn every_request_is_answered_while_a_backend_server_sheds_load() {
     run(async {
         let site = site(3).await;
         site.backend_command(0, 1, "mode/shed")
             .await
-            .expect("obeys");
+            .expect("accepts the command");
         let callers = CallerProcess::start(&site, 0, &load(5, 12, 4)).expect("callers");
         sleep_ms(2_000).await;
         site.backend_command(0, 1, "mode/normal")
             .await
-            .expect("obeys");
-        let tally = callers.finish(&site).await.expect("ends");
-        assert_no_visible_failure(&tally);
+            .expect("accepts the command");
+        let stats = callers.finish(&site).await.expect("finishes");
+        assert_no_visible_failure(&stats);
     });
 }
 
 #[test]
-fn slots_are_never_exceeded_and_stragglers_answer_their_own_caller() {
+fn slots_are_not_exceeded_and_late_responses_go_to_their_own_callers() {
     run(async {
         let site = site(2).await;
         site.backend_command(0, 0, "mode/slow")
             .await
-            .expect("obeys");
+            .expect("accepts the command");
         let callers = CallerProcess::start(&site, 0, &load(0, 60, 4)).expect("callers");
-        let tally = callers.finish(&site).await.expect("ends");
-        assert_no_visible_failure(&tally);
+        let stats = callers.finish(&site).await.expect("finishes");
+        assert_no_visible_failure(&stats);
         for host in 0..2 {
             let counts = site
                 .backend_command(0, host, "counts")
@@ -175,30 +176,30 @@
 }
 
 #[test]
-fn a_cold_backend_server_costs_no_answer() {
+fn every_request_is_answered_while_a_backend_server_is_cold() {
     run(async {
         let site = site(3).await;
         site.backend_command(0, 2, "mode/cold")
             .await
-            .expect("obeys");
+            .expect("accepts the command");
         let callers = CallerProcess::start(&site, 0, &load(5, 12, 4)).expect("callers");
-        assert_no_visible_failure(&callers.finish(&site).await.expect("ends"));
+        assert_no_visible_failure(&callers.finish(&site).await.expect("finishes"));
     });
 }
 
 #[test]
-fn a_caller_that_leaves_is_cancelled_at_the_backend_server() {
+fn the_request_of_a_caller_that_leaves_is_cancelled_at_the_backend_server() {
     run(async {
         let site = site(1).await;
         site.backend_command(0, 0, "mode/slow")
             .await
-            .expect("obeys");
+            .expect("accepts the command");
         let mut caller = Caller::new(site.service_address(0)).await.expect("caller");
         caller.connect().await.expect("a flow");
         let empty = Bytes::new();
         let call = caller.call(&Method::GET, "/status/left", None, &empty);
-        let left = compio::time::timeout(Duration::from_millis(20), call).await;
-        assert!(left.is_err(), "the caller left before its answer");
+        let result = compio::time::timeout(Duration::from_millis(20), call).await;
+        assert!(result.is_err(), "the caller leaves before the response");
         drop(caller);
         let cancelled = async |site: &Site| {
             let counts = site
--- a/lab/tests/common/mod.rs
+++ b/lab/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests with real processes share.
+//! Helpers of the tests with real processes.
 #![allow(dead_code, unreachable_pub)]
 
 pub mod opaque;
@@ -10,20 +10,20 @@
 
 const BOUNDS: &str = include_str!("../../../bounds.txt");
 
-/// Runs a test's future on a runtime of its own.
+/// Runs the future of a test on a new runtime.
 pub fn run<F: Future>(test: F) -> F::Output {
     compio::runtime::Runtime::new()
         .expect("runtime")
         .block_on(test)
 }
 
-/// Returns a site with three balancers and one service with this many targets.
+/// Starts a site with three balancers and one service with this many targets.
 pub async fn site(targets: usize) -> Site {
     let builder = SiteBuilder::new(3).service("queue-desk", targets, 7, 5);
     builder.start().await.expect("the site starts")
 }
 
-/// Returns feeds and clients for this long.
+/// Returns a load of feeds and clients with short pauses.
 pub fn load(feeds: u64, clients: u64, seconds: u64) -> CallerLoad {
     CallerLoad {
         feeds,
@@ -38,32 +38,33 @@
     compio::time::sleep(Duration::from_millis(ms)).await;
 }
 
-/// Asserts what holds in every run, whatever fails: nothing wrong, doubled or lost.
-pub fn assert_no_corruption(tally: &CallerStats) {
-    let broken = (tally.wrong, tally.doubled, tally.lost);
+/// Asserts what must hold under any failure: no wrong answer, and no duplicate or lost claim.
+pub fn assert_no_corruption(stats: &CallerStats) {
+    let errors = (stats.wrong, stats.doubled, stats.lost);
     assert_eq!(
-        broken,
+        errors,
         (0, 0, 0),
         "wrong, doubled, lost in {:?}",
-        counts_only(tally)
+        counts_only(stats)
     );
 }
 
-/// Asserts that no caller noticed anything.
-pub fn assert_no_visible_failure(tally: &CallerStats) {
-    assert!(tally.requests > 0);
-    assert!(tally.is_clean(), "{:?}", counts_only(tally));
+/// Asserts that every request was answered correctly and no flow or feed broke.
+pub fn assert_no_visible_failure(stats: &CallerStats) {
+    assert!(stats.requests > 0);
+    assert!(stats.is_clean(), "{:?}", counts_only(stats));
 }
 
-pub fn counts_only(tally: &CallerStats) -> CallerStats {
+/// Returns the counts without the lists of claims and latencies, for messages.
+pub fn counts_only(stats: &CallerStats) -> CallerStats {
     CallerStats {
         claims: Vec::new(),
         latencies_us: Vec::new(),
-        ..tally.clone()
+        ..stats.clone()
     }
 }
 
-/// Returns the bound with this name from `bounds.txt`.
+/// Returns the bound with this name in `bounds.txt`.
 pub fn bound(name: &str) -> f64 {
     let line = BOUNDS
         .lines()
--- a/lab/tests/hostile_peers.rs
+++ b/lab/tests/hostile_peers.rs
@@ -1,4 +1,5 @@
-//! Strangers at every port of running processes: counted and dropped, and service goes on.
+//! Unauthenticated peers at every port of running processes: their datagrams and links are dropped
+//! and counted, and callers are not affected.
 
 mod common;
 
@@ -15,7 +16,7 @@
 const CONTROL_PORT: u16 = 4_700;
 const DATAGRAM_PORT: u16 = 4_701;
 
-/// Sends random, truncated, forged and replayed datagrams to every port that takes any.
+/// Sends random, forged and repeated datagrams to every UDP port of the site.
 fn send_datagrams(site: &Site, random: &mut StdRng) {
     let socket = UdpSocket::bind("127.0.0.1:0").expect("socket");
     let mut ports: Vec<SocketAddr> = vec![site.service_address(0)];
@@ -24,7 +25,7 @@
             .iter()
             .map(|host| SocketAddr::from((*host, DATAGRAM_PORT))),
     );
-    let foreign = EnvelopeKey::new(&ClusterKey::new([1; 32]));
+    let wrong_key = EnvelopeKey::new(&ClusterKey::new([1; 32]));
     for port in ports {
         for round in 0..200 {
             let bytes = random.random_range(0..1_500);
@@ -38,7 +39,7 @@
                     balancer: "127.0.0.1".parse().expect("an address"),
                     revision: u64::MAX.into(),
                 };
-                foreign.append(&mut datagram, &envelope);
+                wrong_key.append(&mut datagram, &envelope);
             }
             let _ = socket.send_to(&datagram, port);
             let _ = socket.send_to(&datagram, port);
@@ -46,7 +47,8 @@
     }
 }
 
-/// Connects to every control port without the key, and with silence, garbage and a flood of bytes.
+/// Connects to every control port without the cluster key, once without sending anything and once
+/// with 100,000 random bytes.
 fn open_links(site: &Site, random: &mut StdRng) {
     for host in site.daemon_hosts() {
         let address = SocketAddr::from((host, CONTROL_PORT));
@@ -58,30 +60,34 @@
         garbage
             .set_read_timeout(Some(Duration::from_secs(5)))
             .expect("a timeout");
-        // 16 bytes of a nonce and 32 of a proof come before the refusal, and nothing after.
-        let mut answer = Vec::new();
-        let _ = garbage.read_to_end(&mut answer);
-        assert!(answer.len() <= 48, "a stranger got {} bytes", answer.len());
+        // A nonce of 16 bytes and a proof of 32 bytes precede the refusal, and nothing follows it.
+        let mut response = Vec::new();
+        let _ = garbage.read_to_end(&mut response);
+        assert!(
+            response.len() <= 48,
+            "an unauthenticated peer got {} bytes",
+            response.len()
+        );
         drop(silent);
     }
 }
 
 #[test]
-fn strangers_get_nothing_and_callers_notice_nothing() {
+fn unauthenticated_peers_are_refused_and_callers_see_no_failure() {
     run(async {
         let site = site(2).await;
         let mut random = StdRng::seed_from_u64(9);
         let callers = CallerProcess::start(&site, 0, &load(10, 10, 4)).expect("callers");
         send_datagrams(&site, &mut random);
         open_links(&site, &mut random);
-        let tally = callers.finish(&site).await.expect("ends");
-        assert_no_visible_failure(&tally);
+        let stats = callers.finish(&site).await.expect("finishes");
+        assert_no_visible_failure(&stats);
         for host in site.daemon_hosts() {
             let dropped = site
                 .metric(host, "packets_dropped_total")
                 .await
                 .expect("alive");
-            assert!(dropped > 0.0, "{host} counts what it drops");
+            assert!(dropped > 0.0, "{host} counts dropped packets");
             let refused = site
                 .metric(host, "links_refused_total")
                 .await
--- a/lab/tests/imbalance_bounds.rs
+++ b/lab/tests/imbalance_bounds.rs
@@ -1,4 +1,5 @@
-//! Imbalance under fixed seeds stays below the bounds in `bounds.txt`, and below the naive version.
+//! The imbalance with fixed seeds stays below the bounds in `bounds.txt`, and in the steady case below
+//! half of that with plain hashing.
 
 mod common;
 
@@ -16,22 +17,25 @@
 fn imbalance_stays_below_its_bounds() {
     for (targets, lifetime_s) in [(7, 60), (3, 60), (7, 600)] {
         let rows = run_imbalance(targets, lifetime_s, 1_000, 1);
-        let ours = row(&rows, "steady", Policy::Deflect);
+        let deflect = row(&rows, "steady", Policy::Deflect);
         let name = format!("imbalance_steady_{targets}_targets_{lifetime_s}_s");
-        assert!(ours.worst * 100.0 <= bound(&name), "{name}: {ours:?}");
-        let naive = row(&rows, "steady", Policy::Hash);
-        assert!(ours.worst < naive.worst / 2.0, "{ours:?} against {naive:?}");
+        assert!(deflect.worst * 100.0 <= bound(&name), "{name}: {deflect:?}");
+        let hash = row(&rows, "steady", Policy::Hash);
+        assert!(
+            deflect.worst < hash.worst / 2.0,
+            "{deflect:?} against {hash:?}"
+        );
     }
     let rows = run_imbalance(7, 60, 1_000, 1);
-    let ours = row(&rows, "weight", Policy::Deflect);
+    let deflect = row(&rows, "weight", Policy::Deflect);
     let name = "imbalance_after_edit_7_targets_60_s";
-    assert!(ours.end * 100.0 <= bound(name), "{name}: {ours:?}");
+    assert!(deflect.end * 100.0 <= bound(name), "{name}: {deflect:?}");
 }
 
 #[test]
-fn a_rush_of_openers_is_spread_though_reports_are_old() {
+fn a_burst_of_openers_is_balanced_despite_old_load_reports() {
     let rows = run_imbalance(7, 600, 1_000, 1);
-    let ours = row(&rows, "all flows lost", Policy::Deflect);
+    let deflect = row(&rows, "all flows lost", Policy::Deflect);
     let name = "imbalance_reopen_7_targets_600_s";
-    assert!(ours.worst * 100.0 <= bound(name), "{name}: {ours:?}");
+    assert!(deflect.worst * 100.0 <= bound(name), "{name}: {deflect:?}");
 }
--- a/lab/tests/opener_summary.rs
+++ b/lab/tests/opener_summary.rs
@@ -1,4 +1,4 @@
-//! The account of openers, from log lines as balancers and agents write them.
+//! The summary of openers from the log lines of balancers and agents.
 
 use endivedyke::parse_log;
 use endivedyke_lab::{
@@ -6,13 +6,14 @@
 };
 
 const FLOW: &str = "100.64.0.7:1027>198.18.0.1:443";
-const OTHER: &str = "100.64.0.8:1030>198.18.0.1:443";
-const UNTOLD: LogDefaults<'static> = LogDefaults {
+const OTHER_FLOW: &str = "100.64.0.8:1030>198.18.0.1:443";
+const DEFAULTS: LogDefaults<'static> = LogDefaults {
     slots: 2,
     zones: &["z-2"],
 };
 
-/// Writes lines as a collector does: the time and the name of the host before each.
+/// Returns the text of lines in the format of a log collector, with a time and the host name before
+/// each line.
 fn collected(lines: &[(u64, &str, &str)]) -> String {
     let line = |(time_ms, host, text): &(u64, &str, &str)| {
         format!("12.345 {host} time_ms={time_ms} level=INFO part=x {text}\n")
@@ -20,16 +21,22 @@
     lines.iter().map(line).collect()
 }
 
-/// Returns the account of lines of openers, `{}` in which stands for the flow.
-fn account_of<T>(lines: &[(u64, &str, &str)], look: impl FnOnce(&OpenerSummary<'_>) -> T) -> T {
+/// Passes the summary of lines to `inspect` and returns its result. `{}` in a line stands for
+/// [`FLOW`].
+fn with_summary<T>(
+    lines: &[(u64, &str, &str)],
+    inspect: impl FnOnce(&OpenerSummary<'_>) -> T,
+) -> T {
     let text = collected(lines).replace("{}", FLOW);
     let parsed = parse_log("log", &text);
-    look(&OpenerSummary::from_lines(&parsed, &UNTOLD))
+    inspect(&OpenerSummary::from_lines(&parsed, &DEFAULTS))
 }
 
+/// Returns the end, the reason, the time until it was taken and whether a slot was free, of the
+/// opener of [`FLOW`].
 fn end_of(lines: &[(u64, &str, &str)]) -> (OpenerEnd, String, Option<u64>, Option<bool>) {
-    account_of(lines, |account| {
-        let opener = account.openers.iter().find(|opener| opener.flow == FLOW);
+    with_summary(lines, |summary| {
+        let opener = summary.openers.iter().find(|opener| opener.flow == FLOW);
         let opener = opener.expect("an opener");
         (
             opener.end,
@@ -41,7 +48,7 @@
 }
 
 #[test]
-fn an_opener_is_taken_at_once_or_after_offers_or_after_a_wait() {
+fn openers_end_at_once_or_offered_on_or_waited() {
     let taken = "event=opener_taken flow={} copy=0 hops=0 busy=0";
     let at_once = end_of(&[(1_000, "a-1", taken)]);
     assert_eq!(at_once, (OpenerEnd::AtOnce, String::new(), Some(0), None));
@@ -75,12 +82,12 @@
 }
 
 #[test]
-fn a_balancer_tells_offers_that_no_agent_tells() {
+fn offers_that_only_the_balancer_logs_are_counted() {
     let offered = "event=opener_offered flow={} host=10.0.0.2 offers=3";
     let taken = "event=opener_taken flow={} copy=0 hops=0 busy=0";
     let lines = [(1_000, "b-1", offered), (1_004, "a-2", taken)];
-    let (end, offers) = account_of(&lines, |account| {
-        let opener = &account.openers[0];
+    let (end, offers) = with_summary(&lines, |summary| {
+        let opener = &summary.openers[0];
         (opener.end, opener.offers)
     });
     assert_eq!((end, offers), (OpenerEnd::OfferedOn, 3));
@@ -88,22 +95,22 @@
 }
 
 #[test]
-fn a_copy_has_waited_though_no_line_shows_the_first() {
-    let copy = "event=opener_taken flow={} copy=2 hops=0 busy=0";
-    let late = end_of(&[(1_000, "a-1", copy)]);
-    assert_eq!((late.0, late.2), (OpenerEnd::Waited, Some(600)));
+fn a_later_copy_counts_as_waited_without_a_line_of_the_first_copy() {
+    let taken = "event=opener_taken flow={} copy=2 hops=0 busy=0";
+    let waited = end_of(&[(1_000, "a-1", taken)]);
+    assert_eq!((waited.0, waited.2), (OpenerEnd::Waited, Some(600)));
 }
 
 #[test]
-fn an_opener_is_dropped_in_silence_or_refused_or_neither_is_told() {
+fn openers_not_taken_end_dropped_or_refused_or_unfinished() {
     let crowded = "event=opener_not_taken flow={} reason=Crowded copy=0 hops=3 busy=4";
     let dropped = "event=opener_dropped flow={} copy=0 hops=3";
-    let silent = end_of(&[(1_000, "a-1", crowded), (1_000, "a-1", dropped)]);
+    let unanswered = end_of(&[(1_000, "a-1", crowded), (1_000, "a-1", dropped)]);
     assert_eq!(
-        (silent.0, silent.1.as_str()),
+        (unanswered.0, unanswered.1.as_str()),
         (OpenerEnd::Dropped, "Crowded")
     );
-    assert_eq!(silent.2, None);
+    assert_eq!(unanswered.2, None);
 
     let reset = "event=flow_reset flow={} code=4013";
     let refused = end_of(&[(1_000, "a-1", crowded), (1_000, "a-1", reset)]);
@@ -112,8 +119,8 @@
         (OpenerEnd::Refused, "Crowded")
     );
 
-    let told = "event=opener_refused flow={} reason=TooLate waited_ms=300 code=4013";
-    let refused = end_of(&[(1_000, "a-1", told)]);
+    let too_late = "event=opener_refused flow={} reason=TooLate waited_ms=300 code=4013";
+    let refused = end_of(&[(1_000, "a-1", too_late)]);
     assert_eq!(
         (refused.0, refused.1.as_str()),
         (OpenerEnd::Refused, "TooLate")
@@ -124,7 +131,7 @@
 }
 
 #[test]
-fn the_reset_of_an_open_flow_is_no_refusal_of_an_opener() {
+fn the_reset_of_an_open_flow_does_not_count_as_a_refused_opener() {
     let lines = [
         (
             1_000,
@@ -140,12 +147,13 @@
     ];
     assert_eq!(end_of(&lines).0, OpenerEnd::AtOnce);
     let reset = [(2_000, "b-1", "event=flow_reset flow={} code=4011")];
-    assert_eq!(account_of(&reset, |account| account.openers.len()), 0);
+    assert_eq!(with_summary(&reset, |summary| summary.openers.len()), 0);
 }
 
-/// Returns whether a refusal at 1,500 ms was needless, after what another agent wrote about its load.
-fn needless_after(other_host: &str, lines: &[(u64, &str)]) -> Option<bool> {
-    let taken = format!("event=opener_taken flow={OTHER} copy=0 hops=0 busy=0");
+/// Returns whether a slot was free when agent `a-1` declined an opener at 1,500 ms, by the lines of
+/// another agent that serves the same service.
+fn slot_was_free_after(other_host: &str, lines: &[(u64, &str)]) -> Option<bool> {
+    let taken = format!("event=opener_taken flow={OTHER_FLOW} copy=0 hops=0 busy=0");
     let mut all = vec![(500, other_host, taken.as_str())];
     all.extend(lines.iter().map(|(at, line)| (*at, other_host, *line)));
     let crowded = "event=opener_not_taken flow={} reason=Crowded copy=0 hops=3 busy=4";
@@ -155,63 +163,72 @@
 }
 
 #[test]
-fn a_refusal_is_needless_where_another_agent_of_the_service_had_a_slot_free() {
-    let took = |busy| format!("event=opener_taken flow={OTHER} copy=0 hops=0 busy={busy}");
-    // What it took occupies the second slot of two.
-    assert_eq!(needless_after("a-2", &[(1_400, &took(1))]), Some(false));
-    assert_eq!(needless_after("a-2", &[(1_400, &took(0))]), Some(true));
-    let told = format!("{} slots=4", took(1));
-    assert_eq!(needless_after("a-2", &[(1_400, &told)]), Some(true));
-    // What comes after the refusal says nothing about it.
-    let lines = [(1_400, &*took(1)), (1_600, &*took(0))];
-    assert_eq!(needless_after("a-2", &lines), Some(false));
+fn a_slot_was_free_if_another_agent_of_the_service_had_one() {
+    let taken = |busy| format!("event=opener_taken flow={OTHER_FLOW} copy=0 hops=0 busy={busy}");
+    // The opener that is taken occupies the second of two slots.
+    assert_eq!(
+        slot_was_free_after("a-2", &[(1_400, &taken(1))]),
+        Some(false)
+    );
+    assert_eq!(
+        slot_was_free_after("a-2", &[(1_400, &taken(0))]),
+        Some(true)
+    );
+    let with_slots = format!("{} slots=4", taken(1));
+    assert_eq!(
+        slot_was_free_after("a-2", &[(1_400, &with_slots)]),
+        Some(true)
+    );
+    // Lines after the opener was declined are ignored.
+    let lines = [(1_400, &*taken(1)), (1_600, &*taken(0))];
+    assert_eq!(slot_was_free_after("a-2", &lines), Some(false));
 }
 
 #[test]
-fn an_agent_that_takes_none_has_no_slot_free() {
+fn an_agent_that_takes_no_openers_has_no_free_slot() {
     for line in [
         "event=leaving grace_ms=200",
         "event=backend_silent flow=x waited_ms=50",
         "event=opener_not_taken flow=x reason=Evacuated copy=0 hops=0 busy=0",
     ] {
-        assert_eq!(needless_after("a-2", &[(1_400, line)]), Some(false));
+        assert_eq!(slot_was_free_after("a-2", &[(1_400, line)]), Some(false));
     }
 }
 
 #[test]
-fn what_was_told_long_ago_or_of_another_service_says_nothing() {
-    let taken = format!("event=opener_taken flow={OTHER} copy=0 hops=0 busy=0");
+fn expired_loads_and_loads_of_other_services_are_ignored() {
+    let taken = format!("event=opener_taken flow={OTHER_FLOW} copy=0 hops=0 busy=0");
     let crowded = "event=opener_not_taken flow={} reason=Silent copy=0 hops=3 busy=4";
     let dropped = "event=opener_dropped flow={} copy=0 hops=3";
-    let old = [
+    let expired = [
         (1_000, "a-2", taken.as_str()),
         (9_000, "a-1", crowded),
         (9_000, "a-1", dropped),
     ];
-    assert_eq!(end_of(&old).3, None);
-    let foreign = taken.replace("198.18.0.1:443", "198.18.0.1:8443");
-    let foreign = [
-        (8_900, "a-2", foreign.as_str()),
+    assert_eq!(end_of(&expired).3, None);
+    let other_service = taken.replace("198.18.0.1:443", "198.18.0.1:8443");
+    let other_service = [
+        (8_900, "a-2", other_service.as_str()),
         (9_000, "a-1", crowded),
         (9_000, "a-1", dropped),
     ];
-    assert_eq!(end_of(&foreign).3, None);
+    assert_eq!(end_of(&other_service).3, None);
 }
 
 #[test]
-fn addresses_that_one_agent_serves_are_one_service() {
+fn addresses_of_one_agent_belong_to_one_service() {
     let first = "event=opener_taken flow={} copy=0 hops=0 busy=0";
     let second = first.replace("{}", "100.64.0.9:1>198.18.0.1:444");
     let lines = [(1_000, "a-1", first), (1_010, "a-1", &*second)];
-    let services = account_of(&lines, |account| {
-        let services = account.openers.iter().map(|opener| opener.service);
+    let services = with_summary(&lines, |summary| {
+        let services = summary.openers.iter().map(|opener| opener.service);
         services.map(str::to_owned).collect::<Vec<_>>()
     });
     assert_eq!(services, ["198.18.0.1:443", "198.18.0.1:443"]);
 }
 
 #[test]
-fn the_table_tells_totals_services_zones_and_reasons() {
+fn the_table_has_totals_services_zones_and_reasons() {
     let lines = [
         (900, "a-1", "event=start host=a-1 zone=z-1"),
         (
@@ -240,8 +257,8 @@
             "event=opener_dropped flow=c:3>s:1 copy=0 hops=3",
         ),
     ];
-    let (table, csv) = account_of(&lines, |account| {
-        (openers_table(account), openers_csv(account))
+    let (table, csv) = with_summary(&lines, |summary| {
+        (openers_table(summary), openers_csv(summary))
     });
     let row = |start: &str| {
         let found = table.lines().find(|line| line.starts_with(start));
@@ -272,8 +289,8 @@
 }
 
 #[test]
-fn a_refusal_for_want_of_a_route_is_not_for_want_of_room() {
-    let taken = format!("event=opener_taken flow={OTHER} copy=0 hops=0 busy=0");
+fn a_refusal_without_a_route_is_not_due_to_a_lack_of_slots() {
+    let taken = format!("event=opener_taken flow={OTHER_FLOW} copy=0 hops=0 busy=0");
     let reset = "event=flow_reset flow={} code=4010 opens=true";
     let lines = [(1_000, "a-2", taken.as_str()), (1_010, "b-1", reset)];
     let refused = end_of(&lines);
@@ -284,7 +301,7 @@
 }
 
 #[test]
-fn lines_that_were_not_written_are_counted() {
+fn dropped_lines_are_counted() {
     let text = "1.2 a-1 event=lines_dropped count=7\n\
         1.2 a-1 time_ms=5 level=INFO part=x event=opener_taken flow=f copy=0\n\
         1.3 a-2 event=lines_dropped count=5\n";
--- a/lab/tests/operator_client.rs
+++ b/lab/tests/operator_client.rs
@@ -1,4 +1,4 @@
-//! The operators' client: its words, its exit codes, and what it shows of a running site.
+//! The operators' client: its commands, its exit codes and its output for a running site.
 
 mod common;
 
@@ -11,10 +11,10 @@
 use endivedyke_lab::binary_path;
 use endivedyke_lab::opaque::{OpaqueSite, OpaqueSiteBuilder};
 
-/// How often the state of all processes is asked for before one counts as silent for good.
-const STATUS_TRIES: usize = 20;
+/// The maximum number of status requests until the expected status is shown.
+const MAX_STATUS_ATTEMPTS: usize = 20;
 
-fn client(arguments: &[&str]) -> Output {
+fn run_client(arguments: &[&str]) -> Output {
     let program = binary_path("endivedyke").expect("built");
     Command::new(program)
         .args(arguments)
@@ -22,12 +22,14 @@
         .expect("runs")
 }
 
+/// Returns the text of standard output and standard error.
 fn text(output: &Output) -> (String, String) {
     let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
     (text(&output.stdout), text(&output.stderr))
 }
 
-fn file(folder: &Path, name: &str, text: &str) -> String {
+/// Writes a file and returns its path.
+fn write_file(folder: &Path, name: &str, text: &str) -> String {
     let path = folder.join(name);
     std::fs::write(&path, text).expect("written");
     path.display().to_string()
@@ -37,22 +39,22 @@
 fn tables_and_settings_are_checked_before_they_are_published() {
     let folder = tempfile::tempdir().expect("folder");
     let row = "front,192.0.2.1:443,a,10.0.0.1,10.0.0.1:80,100,4,2000\n";
-    let good = file(folder.path(), "good.csv", &format!("{TABLE_HEADER}\n{row}"));
+    let good = write_file(folder.path(), "good.csv", &format!("{TABLE_HEADER}\n{row}"));
     let bad = row.replace(",4,", ",x,");
-    let bad = file(folder.path(), "bad.csv", &format!("{TABLE_HEADER}\n{bad}"));
+    let bad = write_file(folder.path(), "bad.csv", &format!("{TABLE_HEADER}\n{bad}"));
     let more = row.replace(",a,10.0.0.1,", ",b,10.0.0.2,");
-    let more = file(
+    let more = write_file(
         folder.path(),
         "more.csv",
         &format!("{TABLE_HEADER}\n{row}{more}"),
     );
     let routes = |rows: &str| format!("{ROUTES_HEADER}\n{rows}");
     let old_routes = "192.0.2.1:443,old,1,1,yes\n";
-    let old_routes = file(folder.path(), "old-routes.csv", &routes(old_routes));
+    let old_routes = write_file(folder.path(), "old-routes.csv", &routes(old_routes));
     let both = "192.0.2.1:443,old,4,1,yes\n192.0.2.1:443,new,1,1,yes\n";
-    let new_routes = file(folder.path(), "new-routes.csv", &routes(both));
-    let bad_routes = file(folder.path(), "bad-routes.csv", &routes("x,old,1,1,yes\n"));
-    let settings = file(folder.path(), "bad.ini", "[process]\nhots = 10.0.0.1\n");
+    let new_routes = write_file(folder.path(), "new-routes.csv", &routes(both));
+    let bad_routes = write_file(folder.path(), "bad-routes.csv", &routes("x,old,1,1,yes\n"));
+    let settings = write_file(folder.path(), "bad.ini", "[process]\nhots = 10.0.0.1\n");
     let cases: &[(&[&str], i32, &str)] = &[
         (&["table", "check", &good], 0, "100.00%"),
         (&["table", "check", &bad], 1, "E2003"),
@@ -79,7 +81,7 @@
         (&[], 2, "name a command"),
     ];
     for (arguments, exit_code, shown) in cases {
-        let output = client(arguments);
+        let output = run_client(arguments);
         let (stdout, stderr) = text(&output);
         assert_eq!(
             output.status.code(),
@@ -92,9 +94,9 @@
 }
 
 #[test]
-fn routes_of_the_platform_are_printed_or_the_fault_is_named() {
+fn the_platform_routes_program_prints_usage_and_names_broken_files() {
     let folder = tempfile::tempdir().expect("folder");
-    let broken = file(folder.path(), "broken.json", "{");
+    let broken = write_file(folder.path(), "broken.json", "{");
     let cases: &[(&[&str], i32, &str)] = &[
         (&["--help"], 0, "a configuration of the platform"),
         (&["--version"], 0, "endivedyke-platform-routes 0."),
@@ -115,9 +117,9 @@
 }
 
 #[test]
-fn daemons_refuse_unsound_settings() {
+fn daemons_refuse_invalid_settings() {
     let folder = tempfile::tempdir().expect("folder");
-    let settings = file(folder.path(), "bad.ini", "[process]\nhost = here\n");
+    let settings = write_file(folder.path(), "bad.ini", "[process]\nhost = here\n");
     for program in ["endivedyke-balancer", "endivedyke-agent"] {
         let run = |arguments: &[&str]| {
             let program = binary_path(program).expect("built");
@@ -146,7 +148,7 @@
         let settings = site.settings_file().display().to_string();
         let balancer = site.balancer_host(0).to_string();
         let agent = site.agent_host(0).to_string();
-        let shown = text(&client(&["state", "--settings", &settings, &agent])).0;
+        let shown = text(&run_client(&["state", "--settings", &settings, &agent])).0;
         for part in [
             "role: agent",
             "targets:",
@@ -156,7 +158,7 @@
         ] {
             assert!(shown.contains(part), "{part} in {shown}");
         }
-        let json = text(&client(&[
+        let json = text(&run_client(&[
             "state",
             "--json",
             "--settings",
@@ -167,23 +169,23 @@
         let state: serde_json::Value = serde_json::from_str(&json).expect("JSON");
         assert_eq!(state["role"], "balancer");
         assert_eq!(state["tables"][0]["rows"].as_array().map(Vec::len), Some(2));
-        let status = text(&client(&["status", "--settings", &settings])).0;
+        let status = text(&run_client(&["status", "--settings", &settings])).0;
         assert_eq!(status.matches("balancer").count(), 3, "{status}");
         assert!(status.contains("50.00%"), "{status}");
-        let silent = client(&["state", "--settings", &settings, "127.0.0.77"]);
+        let silent = run_client(&["state", "--settings", &settings, "127.0.0.77"]);
         assert_eq!(silent.status.code(), Some(1));
         assert!(text(&silent).1.contains("E4008"), "{:?}", text(&silent));
     });
 }
 
-/// Returns the cells of the first row that begins so.
+/// Returns the cells of the first row whose first cell is `first`.
 fn row_of(status: &str, first: &str) -> Option<Vec<String>> {
     let rows = status.lines().map(str::split_whitespace);
     let mut rows = rows.map(|cells| cells.map(str::to_owned).collect::<Vec<_>>());
     rows.find(|cells| cells.first().is_some_and(|cell| cell == first))
 }
 
-/// Tells whether a service's row names a backend server with the most open flows.
+/// Returns whether a service's row names a backend server with the most open flows.
 fn shows_busiest(site: &OpaqueSite, servers: usize, row: &[String]) -> bool {
     let most = (0..servers).map(|index| site.open_flows(index)).max();
     let named = (0..servers).find(|index| site.agent_host(*index).to_string() == row[3]);
@@ -199,11 +201,12 @@
             .expect("callers");
         sleep_ms(1_000).await;
         let agent = site.settings_path(site.agent_host(0)).display().to_string();
-        // A process may be late once, and callers open flows anew meanwhile; sooner or later all agree.
+        // A process may respond too late, and callers may open flows meanwhile, so that a status may
+        // differ from the flows of that moment; retry until they agree.
         let mut row = Vec::new();
         let mut agrees = false;
-        for _ in 0..STATUS_TRIES {
-            let status = text(&client(&["status", "--settings", &agent])).0;
+        for _ in 0..MAX_STATUS_ATTEMPTS {
+            let status = text(&run_client(&["status", "--settings", &agent])).0;
             row = row_of(&status, "panel-front").expect("a row of the service");
             agrees = row[1] == "3" && shows_busiest(&site, 3, &row);
             if agrees {
@@ -227,10 +230,10 @@
             .expect("callers");
         sleep_ms(1_000).await;
         let agent = site.settings_path(site.agent_host(0)).display().to_string();
-        // A process that waits for its share of a core may be late once; each answers sooner or later.
+        // A process that waits for a core may respond too late; retry until all have responded.
         let mut status = String::new();
-        for _ in 0..STATUS_TRIES {
-            status = text(&client(&["status", "--settings", &agent])).0;
+        for _ in 0..MAX_STATUS_ATTEMPTS {
+            status = text(&run_client(&["status", "--settings", &agent])).0;
             if !status.contains("silent") {
                 break;
             }
@@ -242,7 +245,7 @@
             assert!(status.contains(column), "{column} in {status}");
         }
         let host = site.agent_host(1).to_string();
-        let state = text(&client(&["state", "--settings", &agent, &host])).0;
+        let state = text(&run_client(&["state", "--settings", &agent, &host])).0;
         for part in ["role: agent", "backends:", "panel-front", "flows_open"] {
             assert!(state.contains(part), "{part} in {state}");
         }
@@ -256,15 +259,15 @@
         let builder = OpaqueSiteBuilder::new(2).service("panel-front", 3, 4, 5);
         let site = builder.start().await.expect("the site starts");
         let agent = site.settings_path(site.agent_host(0)).display().to_string();
-        let calm = text(&client(&["status", "--settings", &agent])).0;
-        assert!(!calm.contains("evacuated"), "{calm}");
+        let before = text(&run_client(&["status", "--settings", &agent])).0;
+        assert!(!before.contains("evacuated"), "{before}");
         let zone = site.backend_zone(0);
         site.evacuate_zone(zone);
         let known_to_all = [zone, "5", "5"].map(str::to_owned);
         let mut status = String::new();
-        for _ in 0..STATUS_TRIES {
+        for _ in 0..MAX_STATUS_ATTEMPTS {
             sleep_ms(200).await;
-            status = text(&client(&["status", "--settings", &agent])).0;
+            status = text(&run_client(&["status", "--settings", &agent])).0;
             if row_of(&status, zone).as_deref() == Some(&known_to_all[..]) {
                 break;
             }
@@ -275,7 +278,7 @@
             "{status}"
         );
         let host = site.agent_host(1).to_string();
-        let state = text(&client(&["state", "--settings", &agent, &host])).0;
+        let state = text(&run_client(&["state", "--settings", &agent, &host])).0;
         assert!(state.contains("evacuated_zones"), "{state}");
     });
 }
--- a/lab/tests/operators_page.rs
+++ b/lab/tests/operators_page.rs
@@ -1,4 +1,4 @@
-//! The shell sessions of docs/OPERATORS.md show what the programs print.
+//! The shell sessions in docs/OPERATORS.md match the output of the programs.
 
 mod common;
 
@@ -10,8 +10,8 @@
 const PAGE: &str = include_str!("../../docs/OPERATORS.md");
 const FENCE: &str = "```console\n";
 
-/// Runs a line as an operator's shell does, in a folder, with the programs at hand.
-fn shell(line: &str, folder: &Path) -> String {
+/// Runs a line in a shell, in `folder` and with the programs in `PATH`, and returns its output.
+fn run_in_shell(line: &str, folder: &Path) -> String {
     let program = binary_path("endivedyke").expect("built");
     let programs = program.parent().expect("a folder").display().to_string();
     let path = std::env::var("PATH").unwrap_or_default();
@@ -26,16 +26,16 @@
 }
 
 #[test]
-fn the_sessions_run_as_they_are_printed() {
+fn sessions_print_the_output_on_the_page() {
     let folder = tempfile::tempdir().expect("folder");
     let sessions: Vec<&str> = PAGE.split(FENCE).skip(1).collect();
     assert!(sessions.len() >= 2, "the page has lost its sessions");
     for session in sessions {
-        let printed = session.split("```").next().expect("an end");
-        let mut shown = String::new();
-        for line in printed.lines().filter_map(|line| line.strip_prefix("$ ")) {
-            shown += &format!("$ {line}\n{}", shell(line, folder.path()));
+        let expected = session.split("```").next().expect("an end");
+        let mut actual = String::new();
+        for line in expected.lines().filter_map(|line| line.strip_prefix("$ ")) {
+            actual += &format!("$ {line}\n{}", run_in_shell(line, folder.path()));
         }
-        assert_eq!(shown, printed);
+        assert_eq!(actual, expected);
     }
 }
--- a/lab/tests/platform_failures.rs
+++ b/lab/tests/platform_failures.rs
@@ -1,10 +1,12 @@
-//! The configuration service is silent, stale or rolled back, and operators race.
+//! A site whose configuration service is silent, rolled back or restored from an older copy, and
+//! concurrent changes by operators.
 
 mod common;
 
 use common::{assert_no_visible_failure, load, run, site, sleep_ms};
 use endivedyke_lab::{CallerProcess, Site};
 
+/// Returns the revision in force at each daemon.
 async fn revisions(site: &Site) -> Vec<u64> {
     let mut held = Vec::new();
     for host in site.daemon_hosts() {
@@ -18,7 +20,7 @@
 }
 
 #[test]
-fn nothing_goes_back_and_restarts_find_the_newest_while_the_platform_fails() {
+fn daemons_keep_the_newest_revision_and_restarted_ones_get_it_while_the_platform_fails() {
     run(async {
         let mut site = site(2).await;
         let newest = site.set_weights(0, &[300, 100]).await.expect("published");
@@ -28,30 +30,30 @@
         for mode in ["silent", "rolled-back", "silent"] {
             site.platform_command("POST", &format!("mode/{mode}"), "")
                 .await
-                .expect("obeys");
+                .expect("accepts the command");
             let callers = CallerProcess::start(&site, 0, &load(5, 5, 4)).expect("callers");
-            site.balancer(0).expect("runs").kill().expect("dies");
+            site.balancer(0).expect("runs").kill().expect("is killed");
             site.start_balancer(0).expect("starts");
             let all = site.daemon_hosts();
             site.wait_revision(&all, newest)
                 .await
-                .expect("the newest, from its peers");
-            let tally = callers.finish(&site).await.expect("ends");
-            assert_no_visible_failure(&tally);
+                .expect("the newest revision, from its peers");
+            let stats = callers.finish(&site).await.expect("finishes");
+            assert_no_visible_failure(&stats);
             assert_eq!(revisions(&site).await, vec![newest; 5], "while {mode}");
         }
         site.platform_command("POST", "mode/normal", "")
             .await
-            .expect("obeys");
+            .expect("accepts the command");
         let next = site.set_weights(0, &[100, 100]).await.expect("published");
         site.wait_revision(&site.daemon_hosts(), next)
             .await
-            .expect("edits come through again");
+            .expect("changes take effect again");
     });
 }
 
 #[test]
-fn edits_come_through_after_the_service_came_back_from_an_older_copy() {
+fn changes_take_effect_after_the_platform_is_restored_from_an_older_copy() {
     run(async {
         let site = site(2).await;
         let mut newest = 0;
@@ -66,9 +68,9 @@
             .expect("in force");
         site.platform_command("POST", "restore", "4")
             .await
-            .expect("obeys");
+            .expect("accepts the command");
         let next = site.set_weights(0, &[100, 700]).await.expect("published");
-        assert!(next < newest, "the service gives revisions out again");
+        assert!(next < newest, "the service assigns older revisions again");
         let in_force = async |site: &Site| {
             let mut behind = 0;
             for host in site.daemon_hosts() {
@@ -78,28 +80,28 @@
             }
             behind == 0
         };
-        site.wait_until("the edit after the return", in_force)
+        site.wait_until("the change after the restore", in_force)
             .await
             .expect("in force");
     });
 }
 
 #[test]
-fn racing_edits_end_the_same_everywhere_and_a_bad_one_changes_nothing() {
+fn concurrent_changes_converge_and_an_invalid_one_is_rejected() {
     run(async {
         let site = site(2).await;
-        let bad = site
+        let invalid = site
             .table_text(0, &[100, 100])
             .replace(",7,2000", ",0,2000");
         site.set_weights(0, &[200, 100]).await.expect("published");
-        site.publish("table/queue-desk", &bad)
+        site.publish("table/queue-desk", &invalid)
             .await
             .expect("published");
         let last = site.set_weights(0, &[100, 400]).await.expect("published");
         site.wait_revision(&site.daemon_hosts(), last)
             .await
             .expect("in force");
-        site.publish("table/queue-desk", &bad)
+        site.publish("table/queue-desk", &invalid)
             .await
             .expect("published");
         let rejected = async |site: &Site| {
@@ -119,9 +121,9 @@
         assert_eq!(
             revisions(&site).await,
             vec![last; 5],
-            "the one in force stays"
+            "the valid table stays in force"
         );
         let callers = CallerProcess::start(&site, 0, &load(5, 5, 1)).expect("callers");
-        assert_no_visible_failure(&callers.finish(&site).await.expect("ends"));
+        assert_no_visible_failure(&callers.finish(&site).await.expect("finishes"));
     });
 }
--- a/lab/tests/relay_bounds.rs
+++ b/lab/tests/relay_bounds.rs
@@ -1,4 +1,5 @@
-//! A change reaches all daemons within the bounds of `bounds.txt`, with losses, deaths and a cut.
+//! A change reaches all daemons within the bounds in `bounds.txt`, with message loss, dead daemons and
+//! a partition between regions.
 
 mod common;
 
@@ -16,7 +17,7 @@
 }
 
 #[test]
-fn a_change_is_everywhere_in_time() {
+fn a_change_reaches_all_daemons_in_time() {
     for (name, loss_rate, dead_share) in [
         ("calm", 0.0, 0.0),
         ("lossy", 0.2, 0.0),
@@ -38,8 +39,8 @@
 }
 
 #[test]
-fn a_cut_costs_nobody_the_change() {
-    // Each region has its own readers, so that a cut between regions delays nobody.
+fn a_partition_between_regions_delays_no_daemon() {
+    // Each region has its own readers of the platform.
     let partitioned = RelayPlan {
         is_partitioned: true,
         ..plan(0.02, 0.02)
--- a/lab/tests/value_spread.rs
+++ b/lab/tests/value_spread.rs
@@ -1,9 +1,9 @@
-//! How long changes take to reach all processes, from log lines as they write them.
+//! The time that changes take to reach all processes, from their log lines.
 
 use endivedyke::parse_log;
 use endivedyke_lab::{ValueSpread, spreads_table, value_spreads};
 
-/// Writes lines as a collector does: the time and the name of the host before each.
+/// Returns the spreads in lines with a time and a host each, in the format of a log collector.
 fn spreads(lines: &[(u64, &str, &str)]) -> Vec<ValueSpread> {
     let line = |(time_ms, host, text): &(u64, &str, &str)| {
         format!("1.5 {host} time_ms={time_ms} level=INFO part=control {text}\n")
@@ -15,10 +15,10 @@
 const START: &str = "event=start role=agent";
 const FIRST: &str = "event=value_in_force name=routes revision=2 version=1";
 const CHANGE: &str = "event=value_in_force name=routes revision=9 version=2";
-const LATER: &str = "event=values_in_force count=3 revision=10";
+const LATER_CHANGE: &str = "event=values_in_force count=3 revision=10";
 
 #[test]
-fn each_process_counts_from_the_first_one_that_has_the_change() {
+fn delays_are_measured_from_the_first_process_that_has_the_change() {
     let spreads = spreads(&[
         (0, "a-1", START),
         (0, "a-2", START),
@@ -28,7 +28,7 @@
         (130, "a-3", FIRST),
         (1_000, "a-1", CHANGE),
         (1_250, "a-2", CHANGE),
-        (1_400, "a-3", LATER),
+        (1_400, "a-3", LATER_CHANGE),
     ]);
     let [spread] = &spreads[..] else {
         panic!("one change: {spreads:?}");
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn who_starts_meanwhile_is_left_out_and_who_never_tells_is_counted() {
+fn processes_that_start_meanwhile_are_excluded_and_unreported_ones_are_counted() {
     let spreads = spreads(&[
         (0, "a-1", START),
         (0, "a-2", START),
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn lines_without_a_change_make_an_empty_table() {
+fn the_table_is_empty_without_changes() {
     assert!(spreads(&[(0, "a-1", START), (100, "a-1", FIRST)]).is_empty());
     assert_eq!(spreads_table(&[]).lines().count(), 1);
 }
