--- a/benches/hot_paths.rs
+++ b/benches/hot_paths.rs
@@ -181,7 +181,7 @@
             };
             peer_loads.merge(report, 20_000);
         }
-        let mut admission = Admission::warm(host(1));
+        let mut admission = Admission::after_slow_start(host(1));
         (0..1_999).for_each(|_| admission.flow_opened());
         let mut random = StdRng::seed_from_u64(1);
         group.bench_function(BenchmarkId::new("decide", targets), |bencher| {
--- a/lab/src/service_model.rs
+++ b/lab/src/service_model.rs
@@ -84,7 +84,7 @@
         let mut random = StdRng::seed_from_u64(seed);
         let agent = |index| ModelAgent {
             host: host(index),
-            admission: Admission::warm(host(index)),
+            admission: Admission::after_slow_start(host(index)),
             peer_loads: PeerLoads::default(),
             sequence: 0,
             next_exchange_ms: random.random_range(0..load.exchange_ms),
@@ -127,7 +127,7 @@
     pub fn kill(&mut self, index: usize) -> u64 {
         let lost = u64::from(self.agents[index].admission.open_flows());
         self.agents[index].is_alive = false;
-        self.agents[index].admission = Admission::warm(host(index));
+        self.agents[index].admission = Admission::after_slow_start(host(index));
         self.flow_ends
             .retain(|Reverse((_, target))| *target != index);
         for _ in 0..lost {
--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -73,9 +73,9 @@
         }
     }
 
-    /// Creates the admission of a target that started at time 0, for which [`SLOW_START_MS`] have
-    /// passed.
-    pub fn warm(host: Ipv4Addr) -> Self {
+    /// Creates the admission of a target whose slow start began at time 0 and is over from
+    /// [`SLOW_START_MS`] on.
+    pub fn after_slow_start(host: Ipv4Addr) -> Self {
         let mut admission = Self::new(host, 0);
         admission.started_ms = 0;
         admission
--- a/src/decisions/ledger.rs
+++ b/src/decisions/ledger.rs
@@ -129,12 +129,12 @@
 
     /// Records that the request did not run and must not run any more.
     pub fn record_refusal(&mut self, counter: u32) {
-        self.set(counter, State::Refused);
+        self.set_state(counter, State::Refused);
     }
 
     /// Records that it can't be known whether the request ran.
     pub fn record_unknown_outcome(&mut self, counter: u32, code: Code) {
-        self.set(counter, State::OutcomeUnknown(code));
+        self.set_state(counter, State::OutcomeUnknown(code));
     }
 
     /// Records the answer of a request that ran.
@@ -147,7 +147,7 @@
             }
             _ => State::AnswerNotKept,
         };
-        self.set(counter, state);
+        self.set_state(counter, state);
         self.drop_oldest_answers();
     }
 
@@ -156,7 +156,7 @@
             .binary_search_by_key(&counter, |entry| entry.counter)
     }
 
-    fn set(&mut self, counter: u32, state: State) {
+    fn set_state(&mut self, counter: u32, state: State) {
         if let Ok(index) = self.position(counter) {
             self.entries[index].state = state;
             self.evict_oldest();
--- a/src/decisions/reported_waits.rs
+++ b/src/decisions/reported_waits.rs
@@ -19,7 +19,7 @@
     wait_ms: u16,
     reported_ms: u64,
     /// Whether a flow was sent to the agent since, which invalidates a report of a free slot.
-    has_sent_flow: bool,
+    was_sent_flow: bool,
 }
 
 /// The moving mean of reported waits, which decays while there are no reports.
@@ -40,12 +40,12 @@
 
 impl MeanWait {
     fn record(&mut self, wait_ms: u16, now_ms: u64) {
-        let before_ms = self.at(now_ms);
+        let before_ms = self.decayed_ms(now_ms);
         self.wait_ms = before_ms + (f64::from(wait_ms) - before_ms) * NEWEST_WEIGHT;
         self.reported_ms = now_ms;
     }
 
-    fn at(&self, now_ms: u64) -> f64 {
+    fn decayed_ms(&self, now_ms: u64) -> f64 {
         let passed_ms = now_ms.saturating_sub(self.reported_ms) as f64;
         self.wait_ms * (-passed_ms / MEAN_HALF_LIFE_MS).exp2()
     }
@@ -61,7 +61,7 @@
             host,
             wait_ms,
             reported_ms: now_ms,
-            has_sent_flow: false,
+            was_sent_flow: false,
         };
         match self.position(host) {
             Ok(index) => self.waits[index] = reported,
@@ -75,7 +75,7 @@
     /// free slot.
     pub fn record_sent_flow(&mut self, host: Ipv4Addr) {
         if let Ok(index) = self.position(host) {
-            self.waits[index].has_sent_flow = true;
+            self.waits[index].was_sent_flow = true;
         }
     }
 
@@ -84,7 +84,7 @@
         let reported = self.waits[self.position(host).ok()?];
         let is_fresh = now_ms < reported.reported_ms + REPORT_LIFETIME_MS;
         let had_free_slot = reported.wait_ms == 0;
-        (is_fresh && !(had_free_slot && reported.has_sent_flow)).then_some(reported.wait_ms)
+        (is_fresh && !(had_free_slot && reported.was_sent_flow)).then_some(reported.wait_ms)
     }
 
     /// Returns the wait to expect at an agent without a valid report, in milliseconds.
@@ -94,7 +94,7 @@
         } else {
             &self.other_zones
         };
-        mean.at(now_ms)
+        mean.decayed_ms(now_ms)
     }
 
     fn mean_mut(&mut self, is_same_zone: bool) -> &mut MeanWait {
--- a/src/decisions/slot_queue.rs
+++ b/src/decisions/slot_queue.rs
@@ -84,8 +84,8 @@
         self.grant_free_slots();
     }
 
-    pub(crate) fn busy(&self) -> u32 {
-        self.slots.borrow().busy()
+    pub(crate) fn busy_slots(&self) -> u32 {
+        self.slots.borrow().busy_slots()
     }
 
     /// Returns the total service time of the requests that ended since the last call, in
@@ -94,16 +94,16 @@
         self.busy_ms.take()
     }
 
-    pub(crate) fn queued(&self) -> usize {
-        self.slots.borrow().queued()
+    pub(crate) fn queued_requests(&self) -> usize {
+        self.slots.borrow().queued_requests()
     }
 
     pub(crate) fn service_ms(&self) -> f64 {
         self.slots.borrow().service_ms()
     }
 
-    pub(crate) fn has_free(&self) -> bool {
-        self.slots.borrow().has_free()
+    pub(crate) fn has_free_slot(&self) -> bool {
+        self.slots.borrow().has_free_slot()
     }
 
     pub(crate) fn retry_after_ms(&self) -> u32 {
@@ -112,7 +112,7 @@
 
     /// Takes a slot if one is free now.
     pub(crate) fn try_acquire(self: &Rc<Self>, deadline_ms: u64) -> Option<SlotGuard> {
-        if !self.has_free() {
+        if !self.has_free_slot() {
             return None;
         }
         let arrival = self.arrive(self.new_id(), deadline_ms);
--- a/src/decisions/slots.rs
+++ b/src/decisions/slots.rs
@@ -70,17 +70,17 @@
     }
 
     /// Returns the number of running requests.
-    pub fn busy(&self) -> u32 {
+    pub fn busy_slots(&self) -> u32 {
         self.busy
     }
 
     /// Returns the number of waiting requests.
-    pub fn queued(&self) -> usize {
+    pub fn queued_requests(&self) -> usize {
         self.queue.len()
     }
 
     /// Returns whether a request could run at once.
-    pub fn has_free(&self) -> bool {
+    pub fn has_free_slot(&self) -> bool {
         self.busy < self.slots && self.queue.is_empty()
     }
 
@@ -91,7 +91,7 @@
 
     /// Returns the expected wait of a request that arrives now, in milliseconds.
     pub fn wait_ms(&self) -> u64 {
-        if self.has_free() {
+        if self.has_free_slot() {
             return 0;
         }
         service_time::wait_ms(self.queue.len() as u32 + 1, self.service_ms(), self.slots)
@@ -102,7 +102,7 @@
         if deadline_ms <= now_ms {
             return self.refuse(Code::Deadline);
         }
-        if self.has_free() {
+        if self.has_free_slot() {
             self.busy += 1;
             return ArrivalOutcome::Run;
         }
--- a/src/decisions/suspicion.rs
+++ b/src/decisions/suspicion.rs
@@ -25,7 +25,7 @@
 }
 
 impl Suspicion {
-    fn record(&mut self, host: Ipv4Addr) -> &mut HostRecord {
+    fn record_mut(&mut self, host: Ipv4Addr) -> &mut HostRecord {
         let found = self
             .records
             .binary_search_by_key(&host, |record| record.host);
@@ -45,7 +45,7 @@
 
     /// Records that a packet was sent that the host should answer.
     pub fn record_sent(&mut self, host: Ipv4Addr, now_ms: u64) {
-        let record = self.record(host);
+        let record = self.record_mut(host);
         let since_ms = *record.unanswered_since_ms.get_or_insert(now_ms);
         if now_ms.saturating_sub(since_ms) > ANSWER_TIMEOUT_MS {
             record.suspected_until_ms = now_ms + SUSPICION_MS;
@@ -66,7 +66,7 @@
 
     /// Suspects the host at once, as after a refused connection.
     pub fn suspect(&mut self, host: Ipv4Addr, now_ms: u64) {
-        self.record(host).suspected_until_ms = now_ms + SUSPICION_MS;
+        self.record_mut(host).suspected_until_ms = now_ms + SUSPICION_MS;
     }
 
     /// Returns whether the host is suspected now.
--- a/src/decisions/wait_queue.rs
+++ b/src/decisions/wait_queue.rs
@@ -61,7 +61,7 @@
 impl<T> QueuedItem<T> {
     /// Returns when its caller first asked, which compares the ages of items with different
     /// objectives.
-    fn asked_ms(&self) -> u64 {
+    fn first_attempt_ms(&self) -> u64 {
         self.due_ms.saturating_sub(self.objective_ms.into())
     }
 }
@@ -123,16 +123,16 @@
         true
     }
 
-    /// Removes and returns the item to serve next, among those for which `may_go` holds.
+    /// Removes and returns the item to serve next, among those for which `is_allowed` holds.
     pub fn pop_if(
         &mut self,
         params: &QueueParams,
         now_ms: u64,
-        may_go: impl Fn(&T) -> bool,
+        is_allowed: impl Fn(&T) -> bool,
     ) -> Option<QueuedItem<T>> {
         let order = self.order(params, now_ms);
         let entries = self.entries.iter().enumerate();
-        let allowed = entries.filter(|(_, entry)| may_go(&entry.queued.item));
+        let allowed = entries.filter(|(_, entry)| is_allowed(&entry.queued.item));
         let (index, _) = allowed.min_by_key(|(_, entry)| order.rank(&entry.queued, entry.turn))?;
         Some(self.entries.remove(index).queued)
     }
@@ -204,7 +204,7 @@
     fn rank<T>(&self, queued: &QueuedItem<T>, turn: u32) -> (bool, u8, u32, u64) {
         let is_late = self.answered_ms > queued.due_ms;
         let due = match self.is_newest_first {
-            true => u64::MAX - queued.asked_ms(),
+            true => u64::MAX - queued.first_attempt_ms(),
             false => queued.due_ms,
         };
         (is_late, queued.priority, turn, due)
--- a/src/opaque/flow_agent.rs
+++ b/src/opaque/flow_agent.rs
@@ -91,14 +91,14 @@
     service_time: ServiceTimeEstimator,
     /// The fewest busy requests at which the backend server refused one for lack of room, and when
     /// it last did.
-    shed_at: Option<(u32, u64)>,
+    min_busy_at_shed: Option<(u32, u64)>,
     /// The openers and requests that wait for a slot of the backend server.
     wait_queue: WaitQueue<QueuedWork>,
     outcomes: RecentOutcomes,
     /// Whether the backend server was failing at the last outcome, so that each change is logged
     /// once.
     was_failing: bool,
-    stall_watch: StallDetector<FlowKey>,
+    stall_detector: StallDetector<FlowKey>,
     cold_rate: ColdRateLimiter,
     /// Since when the backend server may be cold although its entry does not show it yet.
     possibly_cold_since_ms: Option<u64>,
@@ -147,11 +147,11 @@
             recent_load: MeanLoad::new(RECENT_SPAN_MS),
             steady_load: MeanLoad::new(STEADY_SPAN_MS),
             service_time: ServiceTimeEstimator::default(),
-            shed_at: None,
+            min_busy_at_shed: None,
             wait_queue: WaitQueue::default(),
             outcomes: RecentOutcomes::default(),
             was_failing: false,
-            stall_watch: StallDetector::new(),
+            stall_detector: StallDetector::new(),
             cold_rate: ColdRateLimiter::default(),
             possibly_cold_since_ms: None,
             was_evacuated: false,
--- a/src/opaque/flow_agent/backend_packets.rs
+++ b/src/opaque/flow_agent/backend_packets.rs
@@ -65,7 +65,7 @@
             // A late copy of an opener whose flow has already opened, here or elsewhere.
             _ if segment.opens => {}
             state => {
-                self.stall_watch.remove_request(key);
+                self.stall_detector.remove_request(key);
                 let lost = self.flows.update(&key, context.now_ms, |flow| {
                     flow.state = FlowState::Absent;
                     flow.running.take()
@@ -171,7 +171,7 @@
         if has_new_data && !is_error {
             self.record_progress(key, now_ms);
         } else if answered.is_some() {
-            self.stall_watch.remove_request(key);
+            self.stall_detector.remove_request(key);
         }
         match answered {
             Some((running, None)) => {
@@ -226,9 +226,9 @@
             self.metrics.requests_shed.inc();
             let busy = self.flows.busy_requests();
             let least = self
-                .recent_shed_at(now_ms)
+                .recent_min_busy_at_shed(now_ms)
                 .map_or(busy, |least| least.min(busy));
-            self.shed_at = Some((least, now_ms));
+            self.min_busy_at_shed = Some((least, now_ms));
         } else if is_server_error(status) {
             self.record_failed(now_ms);
         } else {
--- a/src/opaque/flow_agent/backend_process.rs
+++ b/src/opaque/flow_agent/backend_process.rs
@@ -92,7 +92,7 @@
         // All flows up to now belong to the process that has ended.
         let orphaned = self.flows.take_orphaned(u64::MAX, context.now_ms);
         self.pending_flows.clear();
-        self.stall_watch.reset();
+        self.stall_detector.reset();
         self.forget_slot_times();
         log::info!(
             "event=backend_ended flows={} openers={} last_packet_ms_ago={} revision={}",
@@ -169,7 +169,7 @@
     fn forget_outcomes(&mut self) {
         self.outcomes = RecentOutcomes::default();
         self.was_failing = false;
-        self.stall_watch.reset();
+        self.stall_detector.reset();
         self.forget_slot_times();
         self.silent_since_ms = None;
     }
@@ -178,7 +178,7 @@
     /// ended.
     pub(super) fn forget_slot_times(&mut self) {
         self.service_time = ServiceTimeEstimator::default();
-        self.shed_at = None;
+        self.min_busy_at_shed = None;
     }
 
     /// Records that a request failed at the backend server.
--- a/src/opaque/flow_agent/held_back_requests.rs
+++ b/src/opaque/flow_agent/held_back_requests.rs
@@ -66,7 +66,7 @@
         };
         self.metrics.requests_held_back.inc();
         if context.directory.has_deadline(key.called) {
-            self.stall_watch.record_arrival(context.now_ms);
+            self.stall_detector.record_arrival(context.now_ms);
         }
         let work = QueuedWork {
             key,
--- a/src/opaque/flow_agent/stall.rs
+++ b/src/opaque/flow_agent/stall.rs
@@ -30,7 +30,7 @@
     /// Never true on routes whose callers have time for further attempts, since these find another
     /// backend server.
     pub(super) fn is_stalled(&self, now_ms: u64) -> bool {
-        self.stall_watch.is_stalled(now_ms)
+        self.stall_detector.is_stalled(now_ms)
     }
 
     /// Checks whether the backend server is stalled, and resets idle flows if so; to be called
@@ -40,7 +40,7 @@
         let Some(slots) = self.backend_slots(context) else {
             return Vec::new();
         };
-        if let Some(stall) = self.stall_watch.check(slots, context.now_ms) {
+        if let Some(stall) = self.stall_detector.check(slots, context.now_ms) {
             self.metrics.backend_stalls.inc();
             log::warn!(
                 "event=backend_stalled silent_ms={} waiting={} slots={slots} open={} revision={}",
@@ -93,17 +93,17 @@
         if is_new_data {
             let has_deadline = context.directory.has_deadline(key.called);
             let is_whole = has_deadline && !may_continue(segment);
-            self.stall_watch
+            self.stall_detector
                 .record_request(key, is_whole, context.now_ms);
         }
         if segment.ends || segment.resets {
-            self.stall_watch.remove_request(key);
+            self.stall_detector.remove_request(key);
         }
     }
 
     /// Records that the backend server served a request, or a part of its answer.
     pub(super) fn record_progress(&mut self, key: FlowKey, now_ms: u64) {
-        if let Some(stalled_ms) = self.stall_watch.record_answer(key, now_ms) {
+        if let Some(stalled_ms) = self.stall_detector.record_answer(key, now_ms) {
             log::warn!(
                 "event=backend_recovered stalled_ms={stalled_ms} busy={}",
                 self.flows.busy_requests()
@@ -130,13 +130,13 @@
     pub(super) fn may_probe_stalled(&self, context: &AgentContext<'_>, key: &FlowKey) -> bool {
         let routes = context.directory.routes();
         routes.may_probe(key.called, self.identity.service)
-            && self.stall_watch.may_probe(context.now_ms)
+            && self.stall_detector.may_probe(context.now_ms)
     }
 
     /// Returns whether a recovering backend server has as many busy requests as the ramp after a
     /// stall allows now.
     pub(super) fn has_reached_ramp_limit(&self, limit: Option<f64>, now_ms: u64) -> bool {
         let busy = f64::from(self.flows.busy_requests());
-        limit.is_some_and(|limit| busy >= self.stall_watch.ramped_limit(limit, now_ms))
+        limit.is_some_and(|limit| busy >= self.stall_detector.ramped_limit(limit, now_ms))
     }
 }
--- a/src/opaque/flow_agent/waiting.rs
+++ b/src/opaque/flow_agent/waiting.rs
@@ -99,14 +99,16 @@
         let objective_ms = least_ms.map_or(objective_ms, |least_ms| least_ms.min(objective_ms));
         let queued_ms = BACKEND_QUEUE_SHARE * f64::from(objective_ms);
         let by_objective = f64::from(slots) * (1.0 + queued_ms / self.service_time.service_ms());
-        let refused_at = self.recent_shed_at(now_ms).map_or(f64::INFINITY, f64::from);
+        let refused_at = self
+            .recent_min_busy_at_shed(now_ms)
+            .map_or(f64::INFINITY, f64::from);
         by_objective.min(refused_at).max(f64::from(slots))
     }
 
     /// Returns the fewest busy requests at which the backend server recently refused one for lack
     /// of room.
-    pub(super) fn recent_shed_at(&self, now_ms: u64) -> Option<u32> {
-        let (least, refused_ms) = self.shed_at?;
+    pub(super) fn recent_min_busy_at_shed(&self, now_ms: u64) -> Option<u32> {
+        let (least, refused_ms) = self.min_busy_at_shed?;
         (now_ms < refused_ms + SHED_EXPIRY_MS).then_some(least)
     }
 
@@ -243,7 +245,7 @@
             return;
         }
         // After a pause of this process, overdue entries are too late for other agents as well.
-        self.end_expired(context, actions);
+        self.remove_expired(context, actions);
         if self.is_stuck(context) || self.check_takes_new_flows(context).is_err() {
             self.flush_queue(context, actions);
             return;
@@ -252,9 +254,9 @@
         while self.has_backend_room(context, slots) {
             let params = self.queue_params(slots);
             let may_open = self.has_cold_rate_room(context);
-            let may_go =
+            let is_allowed =
                 |work: &QueuedWork| may_open || matches!(work.kind, QueuedKind::Request(_));
-            let Some(next) = self.wait_queue.pop_if(&params, context.now_ms, may_go) else {
+            let Some(next) = self.wait_queue.pop_if(&params, context.now_ms, is_allowed) else {
                 break;
             };
             self.hand_over_dequeued(context, next, actions);
@@ -349,7 +351,7 @@
     /// Refuses openers that would be served only after their callers have left, and drops requests
     /// whose callers have left: a caller that is still there sends the request again. A request
     /// without a deadline of its route has waited long enough and is handed over.
-    fn end_expired(&mut self, context: &AgentContext<'_>, actions: &mut Vec<Action>) {
+    fn remove_expired(&mut self, context: &AgentContext<'_>, actions: &mut Vec<Action>) {
         let is_expired = |waiting: &QueuedItem<QueuedWork>| waiting.deadline_ms <= context.now_ms;
         for waiting in self.wait_queue.take_if(is_expired) {
             let QueuedWork { key, kind } = waiting.item;
--- a/src/opaque/openers/host_loads.rs
+++ b/src/opaque/openers/host_loads.rs
@@ -38,7 +38,10 @@
 
     /// Returns whether `second` is known to be clearly less loaded than `first`.
     pub(crate) fn is_less_loaded(&self, second: Ipv4Addr, first: Ipv4Addr, now_ms: u64) -> bool {
-        match (self.get(second, now_ms), self.get(first, now_ms)) {
+        match (
+            self.recent_permille(second, now_ms),
+            self.recent_permille(first, now_ms),
+        ) {
             (Some(second), Some(first)) => second.saturating_add(MIN_DIFFERENCE_PERMILLE) < first,
             _ => false,
         }
@@ -51,7 +54,8 @@
         now_ms: u64,
     ) -> Option<u16> {
         let (mut sum, mut count) = (0, 0);
-        for permille in hosts.filter_map(|host| self.newer_than(host, MEAN_MAX_AGE_MS, now_ms)) {
+        for permille in hosts.filter_map(|host| self.permille_within(host, MEAN_MAX_AGE_MS, now_ms))
+        {
             sum += u32::from(permille);
             count += 1;
         }
@@ -64,11 +68,11 @@
             .retain(|(_, _, recorded_ms)| now_ms < recorded_ms + MEAN_MAX_AGE_MS);
     }
 
-    fn get(&self, host: Ipv4Addr, now_ms: u64) -> Option<u16> {
-        self.newer_than(host, CHOICE_MAX_AGE_MS, now_ms)
+    fn recent_permille(&self, host: Ipv4Addr, now_ms: u64) -> Option<u16> {
+        self.permille_within(host, CHOICE_MAX_AGE_MS, now_ms)
     }
 
-    fn newer_than(&self, host: Ipv4Addr, max_age_ms: u64, now_ms: u64) -> Option<u16> {
+    fn permille_within(&self, host: Ipv4Addr, max_age_ms: u64, now_ms: u64) -> Option<u16> {
         let index = self.loads.binary_search_by_key(&host, |load| load.0).ok()?;
         let (_, permille, recorded_ms) = self.loads[index];
         (now_ms < recorded_ms + max_age_ms).then_some(permille)
--- a/src/quic/moved_request.rs
+++ b/src/quic/moved_request.rs
@@ -51,7 +51,7 @@
 /// than its weight calls for; otherwise the least busy peers.
 fn peers_to_offer(context: &RequestContext<'_>) -> Vec<Ipv4Addr> {
     let health = context.target.health.borrow();
-    if context.target.slots.has_free() && !health.is_failing() {
+    if context.target.slots.has_free_slot() && !health.is_failing() {
         let store = context.agent.control.store.borrow();
         let table = store.table(context.target.service);
         let peer = table.and_then(|table| context.target.pick_peer(table));
--- a/src/quic/repeatable.rs
+++ b/src/quic/repeatable.rs
@@ -64,7 +64,7 @@
         .moved_fraction
         .borrow()
         .should_move(&mut rand::rng());
-    if context.target.slots.has_free() && !should_move {
+    if context.target.slots.has_free_slot() && !should_move {
         return RunLocation::Local;
     }
     RunLocation::PeerFirst
--- a/tests/admission.rs
+++ b/tests/admission.rs
@@ -21,7 +21,7 @@
 
 /// Returns the admission of a target with this many open flows.
 fn admission_with(flows: u32) -> Admission {
-    let mut admission = Admission::warm(host(0));
+    let mut admission = Admission::after_slow_start(host(0));
     (0..flows).for_each(|_| admission.flow_opened());
     admission
 }
--- a/tests/slots.rs
+++ b/tests/slots.rs
@@ -111,8 +111,8 @@
                 _ => now_ms += amount,
             }
             prop_assert!(running <= limit);
-            prop_assert_eq!(running, slots.busy());
-            prop_assert!(slots.queued() <= 2 * limit as usize);
+            prop_assert_eq!(running, slots.busy_slots());
+            prop_assert!(slots.queued_requests() <= 2 * limit as usize);
         }
     }
 }
