--- a/src/config/deadlines.rs
+++ b/src/config/deadlines.rs
@@ -13,7 +13,7 @@
 
 /// The time after which a caller gives up an attempt whose opener is not answered, in milliseconds;
 /// see docs/OPAQUE.md, "Where a flow opens".
-pub(crate) const UNANSWERED_ATTEMPT_MS: u32 = 1_400;
+pub(crate) const UNANSWERED_ATTEMPT_TIMEOUT_MS: u32 = 1_400;
 
 /// The latency objective and timeout of the callers of an address.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -32,7 +32,7 @@
     /// Their openers can't rely on the caller's copies and retries: each has to be taken, queued or
     /// refused within the one attempt. See docs/design/waiting-openers.md.
     pub fn allows_only_one_attempt(&self) -> bool {
-        self.timeout_ms < UNANSWERED_ATTEMPT_MS.saturating_add(self.objective_ms)
+        self.timeout_ms < UNANSWERED_ATTEMPT_TIMEOUT_MS.saturating_add(self.objective_ms)
     }
 }
 
--- a/src/config/route_table.rs
+++ b/src/config/route_table.rs
@@ -137,7 +137,7 @@
     }
 
     /// Returns whether the service also takes flows of a less urgent route than `route`.
-    pub fn is_urgent(&self, route: &Route, service: ServiceId) -> bool {
+    pub fn has_less_urgent_route(&self, route: &Route, service: ServiceId) -> bool {
         let is_less_urgent =
             |other: &Route| other.priority > route.priority && other.is_served_by(service);
         self.routes.iter().any(is_less_urgent)
--- a/src/decisions/wait_estimate.rs
+++ b/src/decisions/wait_estimate.rs
@@ -5,7 +5,7 @@
 //! retrying, and one that is refused although it could have been served in time loses its turn. See
 //! docs/design/waiting-openers.md.
 
-use crate::config::deadlines::UNANSWERED_ATTEMPT_MS;
+use crate::config::deadlines::UNANSWERED_ATTEMPT_TIMEOUT_MS;
 
 /// What to expect of an opener at one backend server.
 #[derive(Debug, Clone, Copy)]
@@ -39,7 +39,7 @@
         }
         let opens_ms = self.attempt_age_ms + self.wait_ms;
         done_ms <= u64::from(self.timeout_ms)
-            && opens_ms < u64::from(UNANSWERED_ATTEMPT_MS)
+            && opens_ms < u64::from(UNANSWERED_ATTEMPT_TIMEOUT_MS)
             && self.longest_wait_ms < u64::from(self.objective_ms)
     }
 }
--- a/src/opaque/flow_agent/opener_limits.rs
+++ b/src/opaque/flow_agent/opener_limits.rs
@@ -1,6 +1,6 @@
 //! The number of busy requests up to which a backend server takes another opener.
 
-use crate::config::deadlines::{Deadline, UNANSWERED_ATTEMPT_MS};
+use crate::config::deadlines::{Deadline, UNANSWERED_ATTEMPT_TIMEOUT_MS};
 use crate::opaque::flow_agent::{AgentContext, FlowAgent};
 use crate::opaque::flows::flow::PendingOpener;
 use crate::opaque::packets::message::MessageKind;
@@ -79,7 +79,7 @@
         let service = self.identity.service;
         let routes = context.directory.routes();
         let route = routes.get(key.called);
-        let is_urgent = route.is_some_and(|route| routes.is_urgent(route, service));
+        let is_urgent = route.is_some_and(|route| routes.has_less_urgent_route(route, service));
         let per_slot = match (is_cold, is_urgent) {
             (false, false) => MAX_BUSY_PER_SLOT,
             (false, true) => URGENT_MAX_BUSY_PER_SLOT,
@@ -96,7 +96,8 @@
                 self.max_handed_over(slots, deadline.objective_ms, context.now_ms)
             }
             (None, _) if must_yield => {
-                let max_busy = self.max_handed_over(slots, UNANSWERED_ATTEMPT_MS, context.now_ms);
+                let max_busy =
+                    self.max_handed_over(slots, UNANSWERED_ATTEMPT_TIMEOUT_MS, context.now_ms);
                 max_busy.min(f64::from(slots) * per_slot)
             }
             (None, _) => f64::from(slots) * per_slot,
--- a/src/opaque/flow_agent/waiting.rs
+++ b/src/opaque/flow_agent/waiting.rs
@@ -5,7 +5,7 @@
 //! wait only while something else does. See docs/design/waiting-openers.md.
 
 use crate::code::Code;
-use crate::config::deadlines::{Deadline, UNANSWERED_ATTEMPT_MS};
+use crate::config::deadlines::{Deadline, UNANSWERED_ATTEMPT_TIMEOUT_MS};
 use crate::decisions::service_time::wait_ms;
 use crate::decisions::wait_estimate::WaitEstimate;
 use crate::decisions::wait_queue::{QueueParams, QueuedItem, WaitQueue};
@@ -129,8 +129,8 @@
         let published = context.directory.deadline(key.called);
         let fallback = Deadline {
             address: key.called,
-            objective_ms: UNANSWERED_ATTEMPT_MS,
-            timeout_ms: UNANSWERED_ATTEMPT_MS,
+            objective_ms: UNANSWERED_ATTEMPT_TIMEOUT_MS,
+            timeout_ms: UNANSWERED_ATTEMPT_TIMEOUT_MS,
         };
         published.or_else(|| (!self.wait_queue.is_empty()).then_some(fallback))
     }
@@ -418,7 +418,7 @@
     deadline: &Deadline,
 ) -> QueuedItem<QueuedWork> {
     let age_ms = opening.age_ms();
-    let opens_ms = u64::from(UNANSWERED_ATTEMPT_MS).saturating_sub(opening.copy_age_ms());
+    let opens_ms = u64::from(UNANSWERED_ATTEMPT_TIMEOUT_MS).saturating_sub(opening.copy_age_ms());
     let left_ms = u64::from(deadline.timeout_ms).saturating_sub(age_ms);
     let opens_ms = opens_ms.min(MAX_WAIT_OBJECTIVES * u64::from(deadline.objective_ms));
     let work = QueuedWork {
--- a/tests/opaque/route_table.rs
+++ b/tests/opaque/route_table.rs
@@ -54,7 +54,7 @@
     let urgent: Vec<bool> = table
         .all()
         .iter()
-        .map(|route| table.is_urgent(route, route.shares[0].service))
+        .map(|route| table.has_less_urgent_route(route, route.shares[0].service))
         .collect();
     assert_eq!(urgent, [true, false, false, false]);
 }
