--- a/lab/src/opaque/callers.rs
+++ b/lab/src/opaque/callers.rs
@@ -124,8 +124,8 @@
         Ok(Self { callers })
     }
 
-    /// Starts a rush with `times` times as many callers. Later rushes reuse the callers of the first
-    /// one, whatever their `times`.
+    /// Starts a rush with `times` times as many callers. Later rushes reuse the callers of the
+    /// first one, whatever their `times`.
     pub(crate) fn start_rush(&self, times: usize) {
         let mut callers = self.callers.borrow_mut();
         callers.is_rush = true;
--- a/lab/src/opaque/load.rs
+++ b/lab/src/opaque/load.rs
@@ -23,8 +23,8 @@
     pub(crate) event: String,
 }
 
-/// The imbalance of open flows over all samples. One sample is the highest number of open flows of a
-/// backend server divided by their mean, minus one.
+/// The imbalance of open flows over all samples. One sample is the highest number of open flows of
+/// a backend server divided by their mean, minus one.
 #[derive(Debug, Clone, Copy, Default)]
 struct Imbalance {
     sum: f64,
@@ -79,7 +79,10 @@
     match deployment {
         "panelwerk" => Ok([("panel-front", 7, 4, 30), ("study-intake", 3, 4, 5)]),
         "jadepeak" => Ok([("queue-desk", 7, 7, 55), ("scene-intake", 3, 7, 5)]),
-        _ => Err(Error::new(Code::Usage, "panelwerk or jadepeak")),
+        _ => Err(Error::new(
+            Code::Usage,
+            "unknown deployment: use panelwerk or jadepeak",
+        )),
     }
 }
 
@@ -128,8 +131,8 @@
         "drain-agent" => site.drain_backend(0),
         "silence-platform" => site.store().set_fault(Some(super::StoreFault::Silent)),
         _ => {
-            let events = "none, restart-balancer, kill-balancer, kill-agent, crash-backend, \
-                          drain-agent or silence-platform";
+            let events = "unknown event: use none, restart-balancer, kill-balancer, kill-agent, \
+                          crash-backend, drain-agent or silence-platform";
             return Err(Error::new(Code::Usage, events));
         }
     }
--- a/lab/src/opaque/packet.rs
+++ b/lab/src/opaque/packet.rs
@@ -89,8 +89,8 @@
         DecodedPacket::Invalid
     }
 
-    /// Returns the checksum of all fields but those of the load balancer. It is never 0, which marks
-    /// the resets of the load balancer.
+    /// Returns the checksum of all fields but those of the load balancer. It is never 0, which
+    /// marks the resets of the load balancer.
     fn checksum(&self) -> u32 {
         let mut bytes = vec![self.flags & !BOUNCED];
         bytes.extend_from_slice(&self.sequence.to_be_bytes());
--- a/lab/src/opaque/proxy.rs
+++ b/lab/src/opaque/proxy.rs
@@ -15,7 +15,7 @@
 
 const BUFFER_BYTES: usize = 16 << 10;
 /// The interval at which a blocked connection checks whether it may continue.
-const POLL: Duration = Duration::from_millis(10);
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A fault that the proxy injects into all connections until it is cleared.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -133,7 +133,7 @@
             if !is_cut && number >= self.silent_below.get() {
                 return;
             }
-            compio::time::sleep(POLL).await;
+            compio::time::sleep(POLL_INTERVAL).await;
         }
     }
 }
--- a/lab/src/opaque/site.rs
+++ b/lab/src/opaque/site.rs
@@ -40,7 +40,7 @@
 const FIRST_IDLE_ADDRESS: usize = 100;
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 const ADDRESS_TIMEOUT: Duration = Duration::from_secs(5);
-const POLL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// The remaining cold start that entries of backend servers state, in milliseconds.
 const COLD_MS: u64 = 400;
 /// The duration of a cold start in the configuration, in seconds: longer than a test takes on a
@@ -69,8 +69,8 @@
 pub struct OpaqueSiteBuilder {
     balancers: usize,
     services: Vec<ServiceSpec>,
-    /// The number of new flows per second for a cold backend server in the configuration; 0 means no
-    /// limit.
+    /// The number of new flows per second for a cold backend server in the configuration; 0 means
+    /// no limit.
     cold_flows_per_s: f64,
     /// The latency objective and the timeout of all routes in the configuration, in milliseconds.
     deadline_ms: Option<(u64, u64)>,
@@ -92,7 +92,8 @@
         }
     }
 
-    /// Adds a service with this many backend servers.
+    /// Adds a service with `targets` backend servers. Each of them runs up to `slots` requests at
+    /// once, which take `work_ms` milliseconds each.
     pub fn service(mut self, name: &str, targets: usize, slots: usize, work_ms: u64) -> Self {
         self.services.push(ServiceSpec {
             name: name.to_owned(),
@@ -313,7 +314,9 @@
             })
         };
         let services: Vec<_> = self.spec.services.iter().map(service_json).collect();
-        let config = json!({"version": self.config_version, "routes": routes, "services": services, "limits": {}});
+        let config = json!({
+            "version": self.config_version, "routes": routes, "services": services, "limits": {},
+        });
         self.store.put("op/config", &config);
     }
 
@@ -375,7 +378,7 @@
             .unwrap_or_default()
     }
 
-    /// Ends the callers and returns their results.
+    /// Stops new requests, waits for the running ones and returns the callers' results.
     pub async fn finish_callers(&self) -> CallTally {
         match &self.callers {
             Some(callers) => callers.finish().await,
--- a/lab/src/opaque/site/backends.rs
+++ b/lab/src/opaque/site/backends.rs
@@ -9,7 +9,7 @@
 
 use crate::opaque::backend::{BackendHandle, BackendSpec};
 use crate::opaque::site::{
-    ADDRESS_TIMEOUT, APP_PORT, COLD_MS, OUTBOUND_PORT, OpaqueSite, POLL, zone,
+    ADDRESS_TIMEOUT, APP_PORT, COLD_MS, OUTBOUND_PORT, OpaqueSite, POLL_INTERVAL, zone,
 };
 
 impl OpaqueSite {
@@ -77,7 +77,7 @@
         let until = Instant::now() + ADDRESS_TIMEOUT;
         loop {
             match BackendHandle::start(id, spec, &self.journals[index], &self.open_flows).await {
-                Err(_) if Instant::now() < until => compio::time::sleep(POLL).await,
+                Err(_) if Instant::now() < until => compio::time::sleep(POLL_INTERVAL).await,
                 result => return result,
             }
         }
--- a/lab/src/opaque/site/faults.rs
+++ b/lab/src/opaque/site/faults.rs
@@ -9,7 +9,8 @@
 pub(super) const EVACUATE_PREFIX: &str = "op/evacuate/";
 
 impl OpaqueSite {
-    /// Drains a backend server: it publishes that it drains, and closes flows after their next answer.
+    /// Drains a backend server: it publishes that it drains, and closes flows after their next
+    /// answer.
     pub fn drain_backend(&self, index: usize) {
         self.register(index, "draining");
         if let Some(backend) = &self.backends[index] {
@@ -23,8 +24,8 @@
         Some(backend.id)
     }
 
-    /// Crashes a backend server as a host behind a cut network would, and returns its id: connections
-    /// to it stay open and silent.
+    /// Crashes a backend server as a host behind a cut network would, and returns its id:
+    /// connections to it stay open and silent.
     pub fn crash_backend_silently(&mut self, index: usize) -> Option<String> {
         let backend = self.backends[index].take()?;
         self.silent_connections.push(backend.connections());
@@ -36,8 +37,8 @@
         self.set_work_mode(index, WorkMode::Slow(times));
     }
 
-    /// Makes a backend server accept requests without answering them. Its entry still says that it is
-    /// ready.
+    /// Makes a backend server accept requests without answering them. Its entry still says that it
+    /// is ready.
     pub fn hang_backend(&self, index: usize) {
         self.set_work_mode(index, WorkMode::Hanging);
     }
--- a/lab/src/opaque/site/observations.rs
+++ b/lab/src/opaque/site/observations.rs
@@ -29,8 +29,8 @@
         claims.windows(2).filter(|pair| pair[0] == pair[1]).count()
     }
 
-    /// Returns the number of packets at backend servers that were malformed or changed, or openers of
-    /// another service.
+    /// Returns the number of packets at backend servers that were malformed or changed, or openers
+    /// of another service.
     pub fn misdelivered_packets(&self) -> u64 {
         let journals = self.journals.iter();
         journals
@@ -50,7 +50,7 @@
     ///
     /// # Errors
     ///
-    /// Returns code 5001 where the process does not answer.
+    /// Returns code 5001 if the process does not answer.
     pub async fn metric(&self, host: Ipv4Addr, name: &str) -> Result<f64> {
         let address = SocketAddr::from((host, METRICS_PORT));
         let answer = endivedyke::http_get(address, "/metrics", 2_000).await?;
--- a/lab/src/opaque/site/processes.rs
+++ b/lab/src/opaque/site/processes.rs
@@ -7,7 +7,7 @@
 use endivedyke::{Code, Error, Result};
 
 use crate::opaque::site::{
-    AGENT_TEMPLATE, BALANCER_TEMPLATE, OpaqueSite, POLL, READY_PORT, READY_TIMEOUT,
+    AGENT_TEMPLATE, BALANCER_TEMPLATE, OpaqueSite, POLL_INTERVAL, READY_PORT, READY_TIMEOUT,
 };
 use crate::process::Process;
 
@@ -107,9 +107,12 @@
         }
         while self.routers.ready_count() < running || !self.are_all_ready(&hosts).await {
             if Instant::now() >= until {
-                return Err(Error::new(Code::Io, "the site does not become ready"));
+                return Err(Error::new(
+                    Code::Io,
+                    "the site did not become ready in time",
+                ));
             }
-            compio::time::sleep(POLL).await;
+            compio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
--- a/lab/src/opaque/site/store_recovery.rs
+++ b/lab/src/opaque/site/store_recovery.rs
@@ -11,8 +11,8 @@
         self.config_version
     }
 
-    /// Rewrites the configuration, the evacuations and the entries of running backend servers, which
-    /// the store may have lost.
+    /// Rewrites the configuration, the evacuations and the entries of running backend servers,
+    /// which the store may have lost.
     pub fn rewrite_lost_values(&self) {
         self.write_config();
         self.write_evacuations();
--- a/lab/src/opaque/soak.rs
+++ b/lab/src/opaque/soak.rs
@@ -20,7 +20,8 @@
 
 const BALANCERS: usize = 3;
 const BACKENDS: usize = 5;
-/// The interval between two faults, in milliseconds: shorter than most faults, so that they overlap.
+/// The interval between two faults, in milliseconds: shorter than most faults, so that they
+/// overlap.
 const FAULT_INTERVAL_MS: std::ops::Range<u64> = 100..900;
 /// The duration of a fault, in milliseconds.
 const FAULT_DURATION_MS: std::ops::Range<u64> = 200..2_500;
@@ -30,9 +31,9 @@
 /// The time from the start of a drain to the end of the backend server, in milliseconds.
 const DRAIN_DURATION_MS: u64 = 1_500;
 /// The delay after which a lapsed entry is back once the store answers again, in milliseconds.
-const ENTRY_LAPSE_MS: u64 = 1_500;
-/// The minimum age of the copy from which the store is restored, in milliseconds.
-const MIN_COPY_AGE_MS: u64 = 1_000;
+const ENTRY_RETURN_DELAY_MS: u64 = 1_500;
+/// The minimum age of the snapshot from which the store is restored, in milliseconds.
+const MIN_SNAPSHOT_AGE_MS: u64 = 1_000;
 /// The delay after a restore until all lost values are rewritten, in milliseconds: the platform
 /// promises two seconds.
 const REWRITE_DELAY_MS: std::ops::Range<u64> = 0..2_000;
@@ -79,8 +80,8 @@
 ///
 /// # Errors
 ///
-/// Returns code 1101 with the broken promises and the faults so far if a promise is broken, and code
-/// 5001 if a process does not become ready.
+/// Returns code 1101 with the broken promises and the faults so far if a promise is broken, and
+/// code 5001 if a process does not become ready.
 pub async fn run_soak(seed: u64, seconds: u64, logs: Option<&Path>) -> Result<String> {
     let mut builder = OpaqueSiteBuilder::new(BALANCERS).service("panel-front", BACKENDS, 4, 8);
     if seed >= ONE_ATTEMPT_SEED {
@@ -193,7 +194,7 @@
             }
             Fault::Link(fault) => {
                 self.site.proxy().set_fault(Some(fault));
-                self.repairs.push((due_ms, Repair::LinkFault));
+                self.repairs.push((due_ms, Repair::ClearLinkFault));
             }
             Fault::ResetLinks => self.site.proxy().break_connections(),
             Fault::SilenceLinks => self.site.proxy().silence_open_connections(),
@@ -203,17 +204,17 @@
                     .push((self.now_ms() + DRAIN_DURATION_MS, Repair::EndDrain(index)));
             }
             Fault::LapseEntry => {
-                // The entry of a running server lapses only while the store is unavailable, and is back
-                // soon after.
+                // The entry of a running server lapses only while the store is unavailable, and is
+                // back soon after.
                 self.site.store().set_fault(Some(StoreFault::Busy));
                 self.site.lapse_entry(index);
-                self.repairs.push((due_ms, Repair::StoreFault));
+                self.repairs.push((due_ms, Repair::ClearStoreFault));
                 self.repairs
-                    .push((due_ms + ENTRY_LAPSE_MS, Repair::RewriteEntry(index)));
+                    .push((due_ms + ENTRY_RETURN_DELAY_MS, Repair::RewriteEntry(index)));
             }
             Fault::Store(fault) => {
                 self.site.store().set_fault(Some(fault));
-                self.repairs.push((due_ms, Repair::StoreFault));
+                self.repairs.push((due_ms, Repair::ClearStoreFault));
             }
             Fault::TurnAway => {
                 let hosts =
@@ -230,15 +231,15 @@
             Fault::RestoreStore => {
                 self.site.store().set_fault(Some(StoreFault::Busy));
                 self.repairs.push((due_ms, Repair::RestoreStore));
-                self.repairs.push((due_ms, Repair::StoreFault));
+                self.repairs.push((due_ms, Repair::ClearStoreFault));
             }
             Fault::SlowBackend => {
                 self.site.slow_backend(index, SLOWDOWN);
-                self.repairs.push((due_ms, Repair::WorkMode(index)));
+                self.repairs.push((due_ms, Repair::ResumeNormalWork(index)));
             }
             Fault::HangBackend => {
                 self.site.hang_backend(index);
-                self.repairs.push((due_ms, Repair::WorkMode(index)));
+                self.repairs.push((due_ms, Repair::ResumeNormalWork(index)));
             }
             Fault::Rush => {
                 let end_ms = self.now_ms() + self.random.random_range(RUSH_DURATION_MS);
@@ -250,7 +251,7 @@
                 self.site.store().set_fault(Some(StoreFault::Silent));
                 self.kill_all(self.now_ms() + RESTART_DELAY_MS)?;
                 self.repairs
-                    .push((due_ms + RESTART_DELAY_MS, Repair::StoreFault));
+                    .push((due_ms + RESTART_DELAY_MS, Repair::ClearStoreFault));
             }
         }
         Ok(())
@@ -336,15 +337,15 @@
                 Ok(())
             }
             // Overlapping faults of one kind last until the last one ends.
-            Repair::WorkMode(index)
+            Repair::ResumeNormalWork(index)
                 if self
                     .repairs
                     .iter()
-                    .any(|(_, other)| *other == Repair::WorkMode(index)) =>
+                    .any(|(_, other)| *other == Repair::ResumeNormalWork(index)) =>
             {
                 Ok(())
             }
-            Repair::WorkMode(index) => {
+            Repair::ResumeNormalWork(index) => {
                 self.site.resume_normal_work(index);
                 Ok(())
             }
@@ -360,27 +361,27 @@
                 self.site.end_rush();
                 Ok(())
             }
-            Repair::StoreFault
+            Repair::ClearStoreFault
                 if self
                     .repairs
                     .iter()
-                    .any(|(_, other)| *other == Repair::StoreFault) =>
+                    .any(|(_, other)| *other == Repair::ClearStoreFault) =>
             {
                 Ok(())
             }
-            Repair::StoreFault => {
+            Repair::ClearStoreFault => {
                 self.site.store().set_fault(None);
                 Ok(())
             }
-            Repair::LinkFault
+            Repair::ClearLinkFault
                 if self
                     .repairs
                     .iter()
-                    .any(|(_, other)| *other == Repair::LinkFault) =>
+                    .any(|(_, other)| *other == Repair::ClearLinkFault) =>
             {
                 Ok(())
             }
-            Repair::LinkFault => {
+            Repair::ClearLinkFault => {
                 self.site.proxy().set_fault(None);
                 Ok(())
             }
@@ -391,11 +392,12 @@
         }
     }
 
-    /// Restores the store from the newest snapshot that is old enough, and schedules the rewrite of the
-    /// lost values.
+    /// Restores the store from the newest snapshot that is old enough, and schedules the rewrite of
+    /// the lost values.
     fn restore_store(&mut self) {
         let now_ms = self.now_ms();
-        let is_old = |(taken_ms, _): &&(u64, StoreSnapshot)| now_ms >= taken_ms + MIN_COPY_AGE_MS;
+        let is_old =
+            |(taken_ms, _): &&(u64, StoreSnapshot)| now_ms >= taken_ms + MIN_SNAPSHOT_AGE_MS;
         let Some((_, snapshot)) = self.snapshots.iter().rev().find(is_old) else {
             return;
         };
@@ -422,8 +424,8 @@
         outdated
     }
 
-    /// Evacuates a zone of the calm site and returns the number of openers that its servers get after
-    /// the evacuation has to be in force.
+    /// Evacuates a zone of the calm site and returns the number of openers that its servers get
+    /// after the evacuation has to be in force.
     async fn count_openers_in_evacuated_zone(&self, seed: u64) -> u64 {
         if seed < EVACUATION_SEED {
             return 0;
@@ -478,8 +480,8 @@
                 "requests neither answered nor failed within their limit",
                 tally.requests.saturating_sub(ended),
             ),
-            // Requests that began before the calm may be answered in it, so that more are answered than
-            // begin.
+            // Requests that began before the calm may be answered in it, so that more are answered
+            // than begin.
             (
                 "requests of the calm at the end not answered",
                 begun.saturating_sub(answered),
--- a/lab/src/opaque/store.rs
+++ b/lab/src/opaque/store.rs
@@ -22,7 +22,7 @@
 /// copy.
 const ERA_HEADER: &str = "store-era";
 /// The interval at which waiting calls check for changes.
-const WATCH_POLL: Duration = Duration::from_millis(10);
+const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(10);
 /// The maximum number of items in a page; smaller than the platform's, so that tests read several
 /// pages.
 const PAGE_ITEMS: usize = 8;
@@ -159,7 +159,8 @@
         }
     }
 
-    /// Restores the store from a snapshot. Later writes are lost, and their revisions are used again.
+    /// Restores the store from a snapshot. Later writes are lost, and their revisions are used
+    /// again.
     pub fn restore(&self, snapshot: &StoreSnapshot) {
         let mut store = self.store.borrow_mut();
         store.items = snapshot.items.clone();
@@ -212,7 +213,7 @@
             match fault {
                 _ if is_rejected => return text_response(StatusCode::SERVICE_UNAVAILABLE, "{}"),
                 None => break,
-                Some(StoreFault::Silent) => compio::time::sleep(WATCH_POLL).await,
+                Some(StoreFault::Silent) => compio::time::sleep(WATCH_POLL_INTERVAL).await,
                 Some(StoreFault::Busy) => {
                     return text_response(StatusCode::SERVICE_UNAVAILABLE, "{}");
                 }
@@ -280,7 +281,7 @@
                     return text_response(StatusCode::OK, body.to_string());
                 }
             }
-            compio::time::sleep(WATCH_POLL).await;
+            compio::time::sleep(WATCH_POLL_INTERVAL).await;
         }
     }
 }
--- a/lab/tests/common/opaque.rs
+++ b/lab/tests/common/opaque.rs
@@ -9,8 +9,8 @@
 /// The timeout for a change to reach all processes. It takes a second on an idle machine.
 pub const CHANGE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Returns the index of the backend server with the most open flows. By the hash, another one may have
-/// none.
+/// Returns the index of the backend server with the most open flows. By the hash, another one may
+/// have none.
 pub fn busiest_backend(site: &OpaqueSite, targets: usize) -> usize {
     let busiest = (0..targets).max_by_key(|index| site.open_flows(*index));
     let busiest = busiest.expect("a backend server");
@@ -58,8 +58,8 @@
     assert_eq!(counts, (tally.requests, 0, 0, 0), "{}", counts_text(tally));
 }
 
-/// Crashes the backend server of a site, starts its next lifetime with `restart`, and asserts that the
-/// flows of the previous lifetime are reset.
+/// Crashes the backend server of a site, starts its next lifetime with `restart`, and asserts that
+/// the flows of the previous lifetime are reset.
 pub async fn assert_old_flows_are_reset(restart: impl AsyncFnOnce(&mut OpaqueSite, &str)) {
     let mut site = site(1).await;
     site.start_callers(&[site.call_plan(0, 6, 0)])
--- a/lab/tests/opaque_deadlines.rs
+++ b/lab/tests/opaque_deadlines.rs
@@ -28,8 +28,8 @@
         let builder = builder.deadline(objective_ms, timeout_ms);
         let site = builder.log_to_folder(folder.path()).start().await;
         let mut site = site.expect("the site starts");
-        // At the start, values come into force together without a line for each. This change writes the
-        // configuration again.
+        // At the start, values come into force together without a log line for each. This change
+        // writes the configuration again.
         site.add_idle_route();
         let balancers = [0, 1].map(|index| site.balancer_host(index));
         let agents = [0, 1].map(|index| site.agent_host(index));
--- a/lab/tests/opaque_evacuation.rs
+++ b/lab/tests/opaque_evacuation.rs
@@ -138,11 +138,11 @@
 
 /// The rate of new flows for a cold server; callers open many times as many.
 const COLD_FLOWS_PER_S: f64 = 12.0;
-/// The number of callers at that rate. The slots of two zones suffice for all of them, so that none is
-/// refused while the third is evacuated, however slow the machine is.
+/// The number of callers at that rate. The slots of two zones suffice for all of them, so that none
+/// is refused while the third is evacuated, however slow the machine is.
 const COLD_CALLERS: usize = 2 * SLOTS;
-/// The number of flows that may exceed the rate over any time: the burst of a quarter of a second, and
-/// one flow of rounding.
+/// The number of flows that may exceed the rate over any time: the burst of a quarter of a second,
+/// and one flow of rounding.
 const MAX_BURST: f64 = 4.0;
 
 #[test]
--- a/lab/tests/opaque_restored_store.rs
+++ b/lab/tests/opaque_restored_store.rs
@@ -4,8 +4,8 @@
 //! nowhere for five seconds. The store had been restored from a copy some seconds old and used
 //! revisions again. Processes ordered values by revision alone, so they dropped the new
 //! configurations as older ones, without a log line, until the store passed the revision in force.
-//! The log showed it: after routes at revision 18, entries came into force at 14 and 15, and the next
-//! routes only at 22.
+//! The log showed it: after routes at revision 18, entries came into force at 14 and 15, and the
+//! next routes only at 22.
 //!
 //! ```text
 //! 13.0328 event=value_in_force name=routes revision=18
@@ -106,8 +106,8 @@
             .expect("callers start");
         site.store().set_fault(Some(StoreFault::Busy));
         sleep_ms(500).await;
-        // The store does not reject a watch from the known revision, because it has passed that revision
-        // again when it answers.
+        // The store does not reject a watch from the known revision, because it has passed that
+        // revision again when it answers.
         site.store().restore(&snapshot);
         site.remove_last_route();
         for index in 0..3 {
@@ -131,8 +131,8 @@
         site.remove_last_route();
         wait_for_no_openers(&site, INTAKE_SERVER).await;
         site.store().restore(&snapshot);
-        // Operators have not rewritten the configuration yet. Processes that start meanwhile get it from
-        // their peers.
+        // Operators have not rewritten the configuration yet. Processes that start meanwhile get it
+        // from their peers.
         site.restart_agent(0).expect("it starts");
         site.restart_balancer(1).expect("it starts");
         site.wait_ready().await.expect("the site becomes ready");
@@ -198,9 +198,9 @@
     }
 }
 
-/// Guards against a metric that showed the first of two configurations of one read, while the second
-/// was in force. Both readers of the store had `config_version 6` and the log line `value_in_force
-/// name=routes revision=2.16 version=9`.
+/// Guards against a metric that showed the first of two configurations of one read, while the
+/// second was in force. Both readers of the store had `config_version 6` and the log line
+/// `value_in_force name=routes revision=2.16 version=9`.
 #[test]
 fn the_metric_shows_the_newer_of_two_configurations_in_one_read() {
     run(async {
--- a/lab/tests/opaque_site.rs
+++ b/lab/tests/opaque_site.rs
@@ -243,7 +243,8 @@
         sleep_ms(500).await;
         site.drain_backend(5);
         sleep_ms(3_000).await;
-        // Two of them may be readers of the store, with watches that were open before it rejected them.
+        // Two of them may be readers of the store, with watches that were open before it rejected
+        // them.
         let mut pulled = 0;
         for host in &rejected {
             let pulls = site.metric(*host, "relay_pull_seconds_count").await;
@@ -493,7 +494,8 @@
             .expect("callers start");
         sleep_ms(500).await;
         site.slow_backend(0, 40);
-        // Longer than the time limit of callers, so that a request that others keep overtaking fails.
+        // Longer than the time limit of callers, so that a request that others keep overtaking
+        // fails.
         sleep_ms(4_500).await;
         let tally = site.finish_callers().await;
         assert_promises(&site, &tally);
@@ -504,8 +506,8 @@
 
 #[test]
 fn a_short_soak_breaks_no_promise() {
-    // With seeds 3 and 5, flows were once reset of servers whose entries had lapsed while all processes
-    // were down.
+    // With seeds 3 and 5, flows were once reset of servers whose entries had lapsed while all
+    // processes were down.
     for seed in [3, 5] {
         let result = run(run_soak(seed, 4, None));
         assert!(result.is_ok(), "{result:?}");
