--- a/src/decisions/admission.rs
+++ b/src/decisions/admission.rs
@@ -17,8 +17,8 @@
 /// How long a decision about an opener is remembered, in milliseconds: longer than a handshake.
 pub(crate) const DECISION_LIFETIME_MS: u64 = 10_000;
 /// How long a peer may take to answer a deflected opener, in milliseconds. A caller that gets no
-/// answer retransmits after about a second (RFC 9002 section 6.2), so that the retransmission finds
-/// the peer timed out.
+/// answer retransmits after about a second (RFC 9002 section 6.2), by which time the deflection has
+/// timed out.
 const DEFLECTION_TIMEOUT_MS: u64 = 600;
 /// The maximum number of remembered decisions of a target.
 pub(crate) const MAX_DECISIONS: usize = 65_536;
@@ -28,7 +28,7 @@
 /// The share of a target at the beginning of its slow start, in thousandths.
 pub(crate) const SLOW_START_PERMILLE: u16 = 100;
 
-/// What an agent does with an opener.
+/// The decision of an agent about an opener.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
     /// This agent takes the flow.
@@ -322,7 +322,7 @@
     }
 }
 
-/// Who sent an opener to this agent.
+/// The sender of an opener.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OpenerSource {
     /// A balancer; this agent is the owner of the opener.
@@ -333,7 +333,7 @@
     ReturningPeer,
 }
 
-/// What admission has to know of an opener.
+/// The properties of an opener on which the decision about it depends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Opener {
     /// The hash of the connection id that the caller chose.
--- a/src/decisions/early_openers.rs
+++ b/src/decisions/early_openers.rs
@@ -8,9 +8,9 @@
 /// How many openers are buffered: as many as a balancer watches for answers, and more than arrive
 /// before a configuration does.
 const MAX_BUFFERED: usize = 4_096;
-/// How long each copy is buffered, in milliseconds, by its number: until 100 ms, the time an agent
-/// has to answer, before its caller sends the next copy, which may reach another balancer, or gives
-/// the attempt up.
+/// How long each copy is buffered, in milliseconds, indexed by its number. A copy expires 100 ms,
+/// the time an agent has to answer, before its caller sends the next copy, which may reach another
+/// balancer, or gives up the attempt.
 const COPY_LIFETIME_MS: [u64; 3] = [100, 300, 700];
 
 #[derive(Debug, Clone)]
--- a/src/decisions/ledger.rs
+++ b/src/decisions/ledger.rs
@@ -63,7 +63,7 @@
 #[derive(Debug)]
 pub struct Ledger {
     next_counter: u32,
-    /// The begin of the window: an unrecorded counter below it has expired.
+    /// The start of the window: an unrecorded counter below it has expired.
     window_start: u32,
     capacity: usize,
     /// Sorted by counter.
--- a/src/decisions/moved_fraction.rs
+++ b/src/decisions/moved_fraction.rs
@@ -69,7 +69,8 @@
 
     /// Draws the peer for a moved request and returns its index.
     ///
-    /// The probability of a peer is proportional to the busy slots that it is below the mean.
+    /// The probability of a peer is proportional to the number of busy slots by which it is below
+    /// the mean.
     pub fn pick_peer(
         &self,
         weight: f64,
--- a/src/decisions/offers.rs
+++ b/src/decisions/offers.rs
@@ -18,8 +18,8 @@
 /// The most agents to which an opener is offered before it is assigned: of a few busy agents one
 /// usually has a free slot, and each further offer costs the caller a round trip.
 const MAX_OFFERS: usize = 5;
-/// How much shorter the wait in another availability zone must be, in milliseconds: the round trip,
-/// which the opener and each request of its flow make.
+/// How much shorter the wait in another availability zone must be, in milliseconds: the round trip
+/// time between zones, which delays the opener and each request of its flow.
 const CROSS_ZONE_COST_MS: f64 = 15.0;
 /// The expected wait at an agent without a report, as a fraction of the mean wait: loads of small
 /// servers differ from their mean by about that much.
@@ -27,7 +27,7 @@
 /// The wait that an agent reports if it takes no new flows now.
 pub const TAKES_NONE_WAIT_MS: u16 = u16::MAX;
 
-/// An agent to which an opener may go.
+/// An agent to which an opener may be offered or assigned.
 #[derive(Debug, Clone, Copy)]
 pub struct Candidate {
     /// The agent's host.
--- a/src/decisions/peer_loads.rs
+++ b/src/decisions/peer_loads.rs
@@ -8,8 +8,8 @@
 pub const FULL_SHARE_PERMILLE: u16 = 1_000;
 /// The age above which a report is stale, in milliseconds.
 pub const REPORT_MAX_AGE_MS: u64 = 60_000;
-/// How long a report is retained, in milliseconds: well after it is stale, so that a peer that
-/// passes an older copy on late can't revive it.
+/// How long a report is retained, in milliseconds. This is well beyond [`REPORT_MAX_AGE_MS`], so
+/// that an older report that a peer passes on late is still recognized as older.
 pub(crate) const REPORT_RETENTION_MS: u64 = 300_000;
 
 /// Milliseconds per hundredth of a second.
--- a/src/decisions/reported_waits.rs
+++ b/src/decisions/reported_waits.rs
@@ -18,7 +18,8 @@
     host: Ipv4Addr,
     wait_ms: u16,
     reported_ms: u64,
-    /// Whether a flow was sent to the agent since, which invalidates a report of a free slot.
+    /// Whether this balancer has sent the agent a flow since the report, which invalidates a report
+    /// of a free slot.
     was_sent_flow: bool,
 }
 
--- a/src/decisions/retry_budget.rs
+++ b/src/decisions/retry_budget.rs
@@ -1,6 +1,6 @@
 //! The limit on the retries that an agent adds to its load.
 
-/// How much of a retry each request adds to the budget.
+/// The fraction of a retry that each request adds to the budget.
 const DEPOSIT: f64 = 0.1;
 /// The most retries that the budget can hold.
 const MAX_BALANCE: f64 = 10.0;
--- a/src/decisions/service_time.rs
+++ b/src/decisions/service_time.rs
@@ -59,7 +59,7 @@
 }
 
 impl ServiceTimeEstimator {
-    /// Sets how many requests the server has and how many slots, from now on.
+    /// Sets the number of requests at the server and the number of its slots, from now on.
     pub fn set_occupied(&mut self, busy: u32, slots: u32, now_ms: u64) {
         self.advance(now_ms);
         self.occupied = busy.min(slots);
--- a/src/decisions/slots.rs
+++ b/src/decisions/slots.rs
@@ -6,9 +6,9 @@
 
 /// The maximum number of waiting requests per slot.
 pub(crate) const MAX_QUEUED_PER_SLOT: u32 = 2;
-/// The shortest retry time that a refused caller is given, in milliseconds.
+/// The minimum retry-after time of a refusal, in milliseconds.
 pub(crate) const MIN_RETRY_AFTER_MS: u32 = 50;
-/// The longest retry time that a refused caller is given, in milliseconds.
+/// The maximum retry-after time of a refusal, in milliseconds.
 pub(crate) const MAX_RETRY_AFTER_MS: u32 = 30_000;
 
 /// The id of a request within its agent.
@@ -140,7 +140,7 @@
         self.busy = self.busy.saturating_sub(1);
     }
 
-    /// Gives a free slot to the first waiting request whose deadline has not passed.
+    /// Assigns a free slot to the first waiting request whose deadline has not passed.
     pub fn dequeue(&mut self, now_ms: u64) -> Dequeued {
         let mut dequeued = Dequeued::default();
         if self.busy >= self.slots {
--- a/src/decisions/stall.rs
+++ b/src/decisions/stall.rs
@@ -19,14 +19,15 @@
 /// The half-life of the slowest answer, in milliseconds: much longer than the time between two slow
 /// answers.
 const SLOWEST_HALF_LIFE_MS: f64 = 60_000.0;
-/// The minimum number of answers before their times show what is usual.
+/// The minimum number of measured answers before a stall can be detected. With fewer, the slowest
+/// one is not representative.
 const MIN_ANSWERS: u32 = 20;
 /// The minimum number of waiting requests, each of a different flow: two may be slow by chance.
 const MIN_WAITING: usize = 3;
 /// The fraction of the silence for which each of these requests must have waited.
 const MIN_WAIT_FRACTION: f64 = 0.75;
-/// The fraction of the silence after which a further request must have arrived: without one, the
-/// sender of the requests may be cut off, and not only the backend server.
+/// The fraction of the silence after which a further request must have arrived. Without one, the
+/// sender of the requests may be cut off, and the silence does not prove a stall.
 const ARRIVAL_FRACTION: f64 = 0.5;
 /// The longest time between two calls, in milliseconds, as a few periods of
 /// [`STALL_CHECK_INTERVAL_MS`]. After a longer gap the agent itself was paused, and unread answers
@@ -135,7 +136,8 @@
         }
     }
 
-    /// Records an answer on a flow, or a part of one, that the backend server had to work for.
+    /// Records an answer on a flow, or a part of one, that shows that the backend server processes
+    /// requests. Refusals and errors don't, and must not be recorded.
     ///
     /// Returns the duration of the stall that this answer ends, in milliseconds, if there was one.
     pub fn record_answer(&mut self, flow: K, now_ms: u64) -> Option<u64> {
@@ -206,17 +208,19 @@
 
     /// Returns whether a request may be sent to a stalled backend server as a probe.
     ///
-    /// Any answer shows that the server works again, also that of a request that waits there
-    /// already. Each probe costs its caller a timeout, and one at a time shows as much as many.
+    /// Any answer shows that the server works again, so a pending request that was sent recently is
+    /// already a probe. Each probe may cost its caller a timeout, and one shows as much as many, so
+    /// only one is sent at a time.
     pub fn may_probe(&self, now_ms: u64) -> bool {
         let is_probe =
             |request: &PendingRequest<K>| now_ms < request.since_ms + STALL_PROBE_TIMEOUT_MS;
         !self.pending.iter().any(is_probe)
     }
 
-    /// Returns how many of `limit` requests the backend server may have after a recovery.
+    /// Returns the limit on requests at the backend server, which is reduced after a recovery.
     ///
-    /// The result grows evenly up to `limit`, so that a second stall affects few callers.
+    /// It grows evenly up to `limit` within [`RECOVERY_RAMP_MS`], so that a second stall affects
+    /// few callers.
     pub fn ramped_limit(&self, limit: f64, now_ms: u64) -> f64 {
         let Some(recovered_ms) = self.recovered_ms else {
             return limit;
--- a/src/decisions/suspicion.rs
+++ b/src/decisions/suspicion.rs
@@ -4,7 +4,7 @@
 
 use std::net::Ipv4Addr;
 
-/// How long a host is suspected unless it gives a new reason, in milliseconds.
+/// How long a suspicion lasts without a new timeout or refused connection, in milliseconds.
 pub const SUSPICION_MS: u64 = 2_000;
 /// How long sent packets may go unanswered before their receiver is suspected, in milliseconds.
 pub const ANSWER_TIMEOUT_MS: u64 = 400;
--- a/src/decisions/wait_estimate.rs
+++ b/src/decisions/wait_estimate.rs
@@ -7,7 +7,7 @@
 
 use crate::config::deadlines::UNANSWERED_ATTEMPT_MS;
 
-/// What to expect of an opener at one backend server.
+/// The expected wait and service time of an opener at one backend server, and its time limits.
 #[derive(Debug, Clone, Copy)]
 pub struct WaitEstimate {
     /// How long its caller has waited in all attempts, in milliseconds.
@@ -27,11 +27,11 @@
 }
 
 impl WaitEstimate {
-    /// Returns whether the opener should wait.
+    /// Returns whether the opener should wait here rather than be refused.
     ///
-    /// An opener that will miss its objective waits only while those before it are served: once one
-    /// of them has waited for a whole objective, a new attempt elsewhere has a chance at least as
-    /// good.
+    /// An opener that will miss its objective, but not its timeouts, waits only if the oldest entry
+    /// of the queue has waited for less than one objective. Otherwise a new attempt elsewhere has
+    /// at least as good a chance.
     pub fn should_wait(&self) -> bool {
         let done_ms = self.age_ms + self.wait_ms + self.service_ms as u64;
         if done_ms <= u64::from(self.objective_ms) {
--- a/src/decisions/wait_queue.rs
+++ b/src/decisions/wait_queue.rs
@@ -16,9 +16,9 @@
 /// The expected wait above which the newest item is served first, as a fraction of the latency
 /// objective.
 ///
-/// Under overload the order of arrival serves each item at the last moment, and all that take
-/// longer than the mean are late. Newest first, arriving items are served in time, and only those
-/// that already wait are late.
+/// Under overload, serving items in order of arrival would serve each one at the last moment, and
+/// all that take longer than the mean would be late. If the newest is served first, arriving items
+/// are in time, and only those that already wait are late.
 const LONG_QUEUE_FRACTION: f64 = 0.25;
 
 /// The service time, the slots and the objective by which a queue is ordered.
@@ -59,8 +59,8 @@
 }
 
 impl<T> QueuedItem<T> {
-    /// Returns when its caller first asked, which compares the ages of items with different
-    /// objectives.
+    /// Returns when its caller sent the first attempt, by which items with different objectives are
+    /// ordered by age.
     fn first_attempt_ms(&self) -> u64 {
         self.due_ms.saturating_sub(self.objective_ms.into())
     }
--- a/src/opaque/flow_agent.rs
+++ b/src/opaque/flow_agent.rs
@@ -45,8 +45,9 @@
 use crate::opaque::values::local_backend::LocalBackend;
 use crate::process::opaque_metrics::OpaqueMetrics;
 
-/// Timeout for the backend server to answer an opener or to return a packet, in milliseconds. It
-/// usually takes less than one; the rest allows for the agent itself waiting for CPU time.
+/// Timeout for the backend server to answer an opener or to return a packet, in milliseconds. The
+/// backend server usually takes less than one millisecond; the rest allows for the agent itself
+/// waiting for CPU time.
 const BACKEND_TIMEOUT_MS: u64 = 50;
 
 /// The inputs of one decision of an agent.
@@ -226,7 +227,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the error for which the packet in it is dropped.
+    /// Returns an error if the packet in it can't be decoded; the packet is then dropped.
     pub fn handle_peer_message(
         &mut self,
         context: &AgentContext<'_>,
@@ -275,7 +276,7 @@
     ///
     /// # Errors
     ///
-    /// Returns the error for which the packet is dropped.
+    /// Returns an error if the packet can't be decoded; it is then dropped.
     pub fn handle_backend_packet(
         &mut self,
         context: &AgentContext<'_>,
@@ -340,8 +341,8 @@
         }
     }
 
-    /// Inserts a flow and returns whether there was room. After one did not fit, a flow without a
-    /// record may be held.
+    /// Inserts a flow and returns whether there was room. If there was none, `knows_all_flows` is
+    /// cleared, since the backend server may then hold a flow without a record.
     fn insert_flow(&mut self, key: FlowKey, flow: Flow, now_ms: u64) -> bool {
         let inserted = self.flows.insert(key, flow, now_ms);
         if !inserted {
@@ -354,7 +355,7 @@
         inserted
     }
 
-    /// Resets a flow towards its caller.
+    /// Sends a reset of a flow to its caller.
     fn reset_flow(
         &self,
         key: &FlowKey,
--- a/src/opaque/flow_agent/backend_packets.rs
+++ b/src/opaque/flow_agent/backend_packets.rs
@@ -27,7 +27,7 @@
     Closed,
     /// The caller had already ended the flow.
     CallerLeft,
-    /// The backend server reset a flow on which the agent had seen no packet from it: one from
+    /// The backend server reset a flow on which it had sent no packet to this agent: a flow from
     /// before a restart.
     FromBefore,
 }
--- a/src/opaque/flow_agent/backend_process.rs
+++ b/src/opaque/flow_agent/backend_process.rs
@@ -67,8 +67,8 @@
 
     /// Stops taking new flows, before the agent's process ends.
     ///
-    /// If the backend server has already left, its agent is stopped after it, and flows that still
-    /// seem open are gone.
+    /// If the backend server is published as gone, refuses connections and has sent nothing lately,
+    /// it was stopped before its agent. Its flows that still seem open are gone and are reset.
     pub fn leave(&mut self, context: &AgentContext<'_>) -> Vec<Action> {
         self.is_leaving = true;
         let own = context.directory.local_backend(self.identity.backend);
--- a/src/opaque/flow_agent/delivery.rs
+++ b/src/opaque/flow_agent/delivery.rs
@@ -186,8 +186,8 @@
     }
 }
 
-/// Returns how long a request without an answer counts as busy, in milliseconds: the caller's
-/// timeout, where it is known.
+/// Returns the timeout after which an unanswered request is no longer busy, in milliseconds: the
+/// caller's timeout, where it is known.
 pub(super) fn busy_timeout_ms(deadline: Option<Deadline>) -> u64 {
     deadline.map_or(REQUEST_BUSY_TIMEOUT_MS, |deadline| {
         deadline.timeout_ms.into()
--- a/src/opaque/flow_agent/hand_on.rs
+++ b/src/opaque/flow_agent/hand_on.rs
@@ -35,7 +35,8 @@
         self.hand_on_to(context, key, opening, next, actions);
     }
 
-    /// Returns the agent that gets an opener that is not taken here for this reason.
+    /// Returns the agent to which an opener is handed on, if any, when it is not taken here for
+    /// this reason.
     pub(super) fn next_agent(
         &self,
         context: &AgentContext<'_>,
--- a/src/opaque/flow_agent/opener_checks.rs
+++ b/src/opaque/flow_agent/opener_checks.rs
@@ -11,12 +11,12 @@
 /// The interval at which a silent or failing backend server is probed with an opener, in
 /// milliseconds.
 const PROBE_INTERVAL_MS: u64 = 200;
-/// The number of hops from which an opener is also taken for a backend server that fails requests
-/// or is stalled: the other agents were no better.
+/// The number of hops from which an agent takes an opener although its backend server fails
+/// requests, is stalled or recovers: the agents before it were no better.
 const HOPS_TO_ACCEPT_UNHEALTHY: u8 = 2;
 
 impl FlowAgent {
-    /// Returns why an opener is not taken, if so.
+    /// Returns the reason as an error if the backend server can't be handed this opener now.
     pub(super) fn check_opener(
         &mut self,
         context: &AgentContext<'_>,
@@ -67,7 +67,8 @@
         Ok(())
     }
 
-    /// Returns why the backend server takes no new flows at all, if so, whatever room it has.
+    /// Returns the reason as an error if the backend server takes no new flows at all, even with
+    /// free slots.
     pub(super) fn check_takes_new_flows(
         &self,
         context: &AgentContext<'_>,
@@ -104,7 +105,7 @@
         flows_per_s.is_none_or(|flows_per_s| self.cold_rate.has_token(flows_per_s, context.now_ms))
     }
 
-    /// Returns whether an opener should rather go to an agent that has not had it yet.
+    /// Returns whether an opener should be handed on to an agent that has not checked it yet.
     fn should_try_others(
         &self,
         context: &AgentContext<'_>,
@@ -116,15 +117,15 @@
         hops < HOPS_TO_ACCEPT_UNHEALTHY && next.is_some()
     }
 
-    /// Lets an opener through at the probe interval, to find out whether the backend server works
-    /// again.
+    /// Accepts an opener as a probe of whether the backend server works again, if the last probe
+    /// was at least [`PROBE_INTERVAL_MS`] ago. Returns `reason` as an error if not.
     fn try_probe(
         &mut self,
         context: &AgentContext<'_>,
-        otherwise: NotTakenReason,
+        reason: NotTakenReason,
     ) -> Result<(), NotTakenReason> {
         if context.now_ms < self.last_probe_ms + PROBE_INTERVAL_MS {
-            return Err(otherwise);
+            return Err(reason);
         }
         self.last_probe_ms = context.now_ms;
         Ok(())
--- a/src/opaque/flow_agent/opener_limits.rs
+++ b/src/opaque/flow_agent/opener_limits.rs
@@ -21,8 +21,8 @@
 const MAX_BUSY_PER_SLOT: [f64; 3] = [2.0, 1.5, 1.0];
 /// The same for openers of a route that is more urgent than another route to the same service.
 ///
-/// While there is not enough room for all, less urgent openers leave these a second waiting place
-/// behind each running request, in which they still finish within about three service times.
+/// While there is not enough room for all, less urgent openers leave a second waiting place behind
+/// each running request to urgent ones, which still finish there within about three service times.
 const URGENT_MAX_BUSY_PER_SLOT: [f64; 3] = [3.0, 2.5, 1.0];
 /// The busy requests per slot from which a cold backend server takes no opener.
 ///
--- a/src/opaque/flow_agent/openers.rs
+++ b/src/opaque/flow_agent/openers.rs
@@ -90,8 +90,8 @@
                 };
                 self.decline(context, &key, message, declined, actions);
             }
-            // The other agents were tried or are as cold, so the opener waits here for its turn at
-            // the rate.
+            // The other agents were tried or are as cold, so the opener waits here until the rate
+            // of new flows admits it.
             Err(NotTakenReason::ColdRate)
                 if let Some(deadline) = deadline
                     && self
--- a/src/opaque/flow_agent/stall.rs
+++ b/src/opaque/flow_agent/stall.rs
@@ -25,10 +25,10 @@
 }
 
 impl FlowAgent {
-    /// Returns whether the backend server takes requests and serves none.
+    /// Returns whether the backend server accepts requests and answers none.
     ///
-    /// Never true on routes whose callers have time for further attempts, since these find another
-    /// backend server.
+    /// Only requests of routes with a deadline are evidence of a stall. Callers of other routes
+    /// have time for further attempts, which find another backend server.
     pub(super) fn is_stalled(&self, now_ms: u64) -> bool {
         self.stall_detector.is_stalled(now_ms)
     }
@@ -82,7 +82,8 @@
         }
     }
 
-    /// Records a packet that the backend server was handed: request data, or the end of its flow.
+    /// Records a packet that was handed over to the backend server: request data, or the end of its
+    /// flow.
     pub(super) fn record_handed_over(
         &mut self,
         context: &AgentContext<'_>,
--- a/src/opaque/flow_agent/waiting.rs
+++ b/src/opaque/flow_agent/waiting.rs
@@ -2,7 +2,7 @@
 //! server.
 //!
 //! Openers wait only on routes whose callers have time for one attempt. Requests of other routes
-//! wait only while something else does. See docs/design/waiting-openers.md.
+//! wait only while the queue is not empty. See docs/design/waiting-openers.md.
 
 use crate::code::Code;
 use crate::config::deadlines::{Deadline, UNANSWERED_ATTEMPT_MS};
@@ -19,14 +19,15 @@
 /// With less, slots are idle between an opener and its request; with more, urgent requests wait
 /// there behind all others.
 const BACKEND_QUEUE_SHARE: f64 = 0.2;
-/// How long a refusal by the backend server limits what it is handed, in milliseconds. This covers
-/// several rushes, and is shorter than the time between changes of the server's limits.
+/// How long a refusal by the backend server limits the requests that are handed over to it, in
+/// milliseconds: longer than several rushes, and shorter than the time between changes of the
+/// server's limits.
 const SHED_EXPIRY_MS: u64 = 10_000;
 /// The maximum wait of an opener, in latency objectives. After that a new attempt has better
 /// chances, while the caller still has time for one.
 const MAX_WAIT_OBJECTIVES: u64 = 2;
-/// The longest wait that is reported to balancers, in milliseconds. A higher value means that no
-/// new flow is taken.
+/// The longest wait that is reported to balancers, in milliseconds. The higher value
+/// [`TAKES_NONE_WAIT_MS`] means that no new flow is taken.
 const MAX_REPORTED_WAIT_MS: u64 = 60_000;
 
 const MS_PER_S: f64 = 1_000.0;
@@ -89,11 +90,11 @@
         wait_ms(ahead, self.service_time.service_ms(), slots)
     }
 
-    /// Returns the number of busy requests from which the backend server is handed nothing that can
-    /// wait.
+    /// Returns the number of busy requests from which openers and requests that can wait are no
+    /// longer handed over to the backend server.
     ///
-    /// The shortest objective in the queue also limits new requests. Otherwise those with a longer
-    /// objective would overtake the queue.
+    /// The shortest objective in the queue also limits new requests. Otherwise new requests with a
+    /// longer objective would overtake the queue.
     pub(super) fn max_handed_over(&self, slots: u32, objective_ms: u32, now_ms: u64) -> f64 {
         let least_ms = self.min_objective_ms();
         let objective_ms = least_ms.map_or(objective_ms, |least_ms| least_ms.min(objective_ms));
@@ -112,8 +113,8 @@
         (now_ms < refused_ms + SHED_EXPIRY_MS).then_some(least)
     }
 
-    /// Returns whether something is queued that goes before an opener of this priority that can't
-    /// wait here.
+    /// Returns whether an opener of this priority, which can't wait here, must leave room for
+    /// queued work of the same or a more urgent priority.
     pub(super) fn must_yield(&self, priority: u8) -> bool {
         let mut waiting = self.wait_queue.iter();
         waiting.any(|waiting| waiting.priority <= priority)
@@ -121,8 +122,8 @@
 
     /// Returns the deadline up to which a request may wait, or none if it is handed over at once.
     ///
-    /// Without a deadline of its route it waits only while the queue is not empty, for at most the
-    /// duration of an unanswered attempt.
+    /// If its route has no deadline, the request waits only while the queue is not empty, for at
+    /// most the duration of an unanswered attempt.
     pub(super) fn request_deadline(
         &self,
         context: &AgentContext<'_>,
@@ -178,14 +179,16 @@
             && self.wait_queue.len() < self.max_queue_length(context, deadline)
     }
 
-    /// Returns the maximum length of the queue: as many as can be served before a caller's timeout.
+    /// Returns the maximum length of the queue: as many entries as can be served before a caller's
+    /// timeout.
     fn max_queue_length(&self, context: &AgentContext<'_>, deadline: &Deadline) -> usize {
         let slots = self.backend_slots(context).unwrap_or_default();
         let served = f64::from(deadline.timeout_ms) / self.service_time.service_ms();
         (served * f64::from(slots)).ceil() as usize
     }
 
-    /// Returns how long an opener would wait here, against its age and its deadline.
+    /// Returns the estimate by which an opener is queued or refused: its expected wait here, its
+    /// age and its deadline.
     fn wait_estimate(
         &mut self,
         context: &AgentContext<'_>,
@@ -237,14 +240,14 @@
         is_silent || self.service_time.is_stuck() || self.is_stalled(context.now_ms)
     }
 
-    /// Hands queued openers and requests over while the backend server has room, and ends waits
-    /// that are overdue.
+    /// Hands queued openers and requests over while the backend server has room, and removes
+    /// expired ones.
     pub(super) fn serve_queue(&mut self, context: &AgentContext<'_>, actions: &mut Vec<Action>) {
         if self.wait_queue.is_empty() {
             self.metrics.openers_waiting.set(0);
             return;
         }
-        // After a pause of this process, overdue entries are too late for other agents as well.
+        // After a pause of this process, expired entries are too late for other agents as well.
         self.remove_expired(context, actions);
         if self.is_stuck(context) || self.check_takes_new_flows(context).is_err() {
             self.flush_queue(context, actions);
@@ -348,9 +351,10 @@
         self.metrics.openers_waiting.set(0);
     }
 
-    /// Refuses openers that would be served only after their callers have left, and drops requests
-    /// whose callers have left: a caller that is still there sends the request again. A request
-    /// without a deadline of its route has waited long enough and is handed over.
+    /// Removes expired entries from the queue. Openers are refused, since they would be served only
+    /// after their callers have left. Requests of routes with a deadline are dropped, since their
+    /// callers have left; a caller that still waits sends the request again. Other requests have
+    /// waited long enough and are handed over.
     fn remove_expired(&mut self, context: &AgentContext<'_>, actions: &mut Vec<Action>) {
         let is_expired = |waiting: &QueuedItem<QueuedWork>| waiting.deadline_ms <= context.now_ms;
         for waiting in self.wait_queue.take_if(is_expired) {
--- a/src/opaque/openers/candidates.rs
+++ b/src/opaque/openers/candidates.rs
@@ -100,7 +100,7 @@
     Ok(ranked.iter().map(|row| row.host).collect())
 }
 
-/// Returns whether a flow is not taken only because its service is evacuated.
+/// Returns whether the service of a flow is evacuated.
 pub(crate) fn is_service_evacuated(directory: &Directory, flow: &FlowKey) -> bool {
     let service = directory.service_for_flow(flow);
     service.is_some_and(|service| directory.is_service_evacuated(service))
--- a/src/opaque/openers/host_loads.rs
+++ b/src/opaque/openers/host_loads.rs
@@ -4,8 +4,8 @@
 
 use crate::opaque::packets::message::UNKNOWN_LOAD_PERMILLE;
 
-/// The age at which a load expires for a choice of two, in milliseconds: twice the time over which the
-/// load is averaged.
+/// The age at which a load expires for the choice between two candidates, in milliseconds: twice
+/// the time over which the load is averaged.
 const CHOICE_MAX_AGE_MS: u64 = 2_000;
 /// The age at which a load expires for the mean of a service, in milliseconds: the time over which
 /// that load is averaged. Within it, one of fifty balancers gets messages of about half of a hundred
--- a/src/opaque/openers/mean_load.rs
+++ b/src/opaque/openers/mean_load.rs
@@ -3,8 +3,9 @@
 /// The span of the mean that agents send with each message, in milliseconds: a few service times of the
 /// users' slowest requests, and a few of the intervals at which a balancer gets messages of each agent.
 pub(crate) const RECENT_SPAN_MS: f64 = 1_000.0;
-/// The span of the mean by which agents balance flows among themselves, in milliseconds. Flows of the
-/// users' feeds live for a few of these spans, and the requests of a shorter one would say little.
+/// The span of the mean by which agents balance flows among themselves, in milliseconds. Flows of
+/// the users' feeds live for a few of these spans. A shorter span has too few requests for a
+/// reliable mean.
 pub(crate) const STEADY_SPAN_MS: f64 = 10_000.0;
 
 /// The load that is sent for a failing backend server, in thousandths: far above any load of a working
--- a/src/opaque/openers/opener_order.rs
+++ b/src/opaque/openers/opener_order.rs
@@ -1,4 +1,5 @@
-//! The order of agents for one flow: which agent gets its opener next, and which ones likely hold it.
+//! The order of agents for one flow: the next agent for its opener, and the agents that likely hold
+//! the flow.
 
 use std::net::Ipv4Addr;
 
@@ -6,11 +7,11 @@
 use crate::opaque::flow_agent::AgentContext;
 use crate::opaque::packets::segment::FlowKey;
 
-/// Returns the agent after `own` in the order of a flow, or `None` if the opener has passed `max_hops`
-/// agents or all of them.
+/// Returns the agent after `own` in the order of a flow, or `None` if `max_hops` agents or all
+/// other agents have already handed the opener on.
 ///
-/// All agents with the same table follow the same circular order, so that the opener needs no list of
-/// the agents that have passed it on.
+/// All agents with the same table follow the same circular order, so that the opener needs no list
+/// of the agents that have handed it on.
 pub(crate) fn next_host(
     context: &AgentContext<'_>,
     own: Ipv4Addr,
@@ -57,7 +58,7 @@
 
 /// Returns the first `count` agents other than `own` in the order of a flow.
 ///
-/// One of them likely holds the flow, since openers are placed and passed on in that order.
+/// One of them likely holds the flow, since openers are placed and handed on in that order.
 pub(crate) fn likely_holders(
     context: &AgentContext<'_>,
     own: Ipv4Addr,
--- a/src/opaque/openers/retry_tracker.rs
+++ b/src/opaque/openers/retry_tracker.rs
@@ -10,9 +10,9 @@
 use crate::opaque::flows::flow_map::FlowMap;
 use crate::opaque::packets::segment::FlowKey;
 
-/// The time within which the next opener of a caller counts as the retry of its failed attempt, in
-/// milliseconds. Callers retry one round trip after their opener was refused, and 30 to 110 ms after
-/// their flow was reset.
+/// Timeout for the retry of a failed attempt, in milliseconds. The caller's next opener within this
+/// time is treated as the retry. Callers retry one round trip after their opener was refused, and
+/// 30 to 110 ms after their flow was reset.
 const RETRY_TIMEOUT_MS: u64 = 125;
 /// How long the wait of an opener is kept for its copies, in milliseconds. Callers send the last copy
 /// after 600 ms, and give up after 1,400 ms.
@@ -36,7 +36,7 @@
     seen_ms: u64,
 }
 
-/// The recent failed attempts, in order of time, and the openers that count as their retries.
+/// The recent failed attempts, in order of time, and the openers that are treated as their retries.
 #[derive(Debug)]
 pub(crate) struct RetryTracker {
     failed_attempts: Vec<FailedAttempt>,
@@ -51,7 +51,8 @@
         }
     }
 
-    /// Records that an attempt of a caller failed after it had waited for `waited_ms` in all its attempts.
+    /// Records that an attempt failed, after its caller had waited for `waited_ms` in all attempts
+    /// so far.
     pub(crate) fn record_failure(&mut self, caller: Ipv4Addr, waited_ms: u64, now_ms: u64) {
         self.failed_attempts
             .retain(|failed| failed.awaits_retry(now_ms));
@@ -99,7 +100,7 @@
 
 impl FailedAttempt {
     fn awaits_retry(&self, now_ms: u64) -> bool {
-        // For an opener that the balancer kept, `now_ms` is its time of arrival.
+        // For an opener that the balancer buffered, `now_ms` is its time of arrival.
         self.reported_ms <= now_ms && now_ms <= self.reported_ms + RETRY_TIMEOUT_MS
     }
 }
