--- a/src/config/backend_entry.rs
+++ b/src/config/backend_entry.rs
@@ -16,7 +16,7 @@
 /// The prefix of the field that holds the start time of a backend server.
 const STARTED_PREFIX: &str = "started=";
 
-/// The upper bound of a published cold start, in milliseconds; longer ones are cut to it.
+/// The upper bound of a published cold start, in milliseconds; longer ones are clamped to it.
 ///
 /// It keeps a typing error from slowing a service down for days. The users' servers are cold for
 /// two seconds.
--- a/src/config/config_store.rs
+++ b/src/config/config_store.rs
@@ -35,7 +35,7 @@
     pub version: u64,
     /// The text in force.
     pub text: String,
-    /// The revision before, which most peers still hold and to which a delta can be made.
+    /// The previous revision, which most peers still hold and from which a delta can be made.
     pub previous_revision: Revision,
     previous_text: String,
     rejected: Option<Rejection>,
@@ -267,8 +267,8 @@
         self.digest
     }
 
-    /// Returns whether an era has settled: what the platform shows in it was written, or kept,
-    /// since it began.
+    /// Returns whether an era has settled: all values that the platform shows in it were written, or
+    /// kept, since it began.
     pub fn is_era_settled(&self, era: u64) -> bool {
         era <= self.settled_era
     }
@@ -373,7 +373,7 @@
     /// Returns whether a backend server's entry of a later era shows an earlier state than the one
     /// held here.
     ///
-    /// A platform restored from an older copy shows such entries; taking one would send new flows
+    /// A platform restored from an older copy shows such entries; accepting one would send new flows
     /// to a server that drains.
     fn is_entry_regression(&self, stamp: VersionStamp, text: &str) -> bool {
         let last = if self.text == GONE_TEXT {
@@ -401,8 +401,8 @@
 
     /// Returns whether a state is newer than the one in force and was not rejected before.
     ///
-    /// A state older than a rejected one still counts: if the rejected revision arrived first, the
-    /// valid one before it is what the other hosts have in force.
+    /// A state older than a rejected one may still be new: if the rejected revision arrived first,
+    /// the other hosts have the valid one before it in force.
     fn is_new_state(&self, stamp: VersionStamp) -> bool {
         let rejected = self.rejected.as_ref().map(|rejection| rejection.revision);
         stamp.supersedes(self.stamp()) && rejected != Some(stamp.revision)
--- a/src/config/deadlines.rs
+++ b/src/config/deadlines.rs
@@ -20,7 +20,7 @@
 pub struct Deadline {
     /// The called address.
     pub address: SocketAddrV4,
-    /// The latency objective of a request, in milliseconds; later answers are late.
+    /// The latency objective of a request, in milliseconds; an answer after it is late.
     pub objective_ms: u32,
     /// The time after which callers give up a request, in milliseconds.
     pub timeout_ms: u32,
--- a/src/config/keys.rs
+++ b/src/config/keys.rs
@@ -40,7 +40,7 @@
         derived
     }
 
-    /// Derives a key of 16 bytes, as AES-128 takes.
+    /// Derives a key of 16 bytes, the length of an AES-128 key.
     pub(crate) fn derive_short(&self, purpose: &str, salt: &str) -> [u8; 16] {
         let mut short = [0; 16];
         short.copy_from_slice(&self.derive(purpose, salt)[..16]);
--- a/src/config/revision.rs
+++ b/src/config/revision.rs
@@ -1,11 +1,11 @@
-//! Revisions of the platform, ordered also across its restorations from older copies.
+//! Revisions of the platform, ordered also across its restores from older copies.
 
 use std::fmt;
 
 /// The number of bits of a packed revision that hold its number.
 ///
-/// At 400 writes a second, the rate of the users' platform, they last for 22,000 years, and leave
-/// room for 65,535 restorations.
+/// At 400 writes a second, the rate of the users' platform, the numbers last for 22,000 years. The
+/// remaining bits of the revision count up to 65,535 restores.
 const NUMBER_BITS: u32 = 48;
 const MAX_NUMBER: u64 = (1 << NUMBER_BITS) - 1;
 const MAX_ERA: u64 = u64::MAX >> NUMBER_BITS;
@@ -14,7 +14,7 @@
 ///
 /// The platform numbers its changes. When it is restored from an older copy, it reuses numbers for
 /// other changes, so that a number alone neither identifies a change nor orders two of them. The
-/// *era* counts the restorations, and all revisions of a later era are higher than those of earlier
+/// *era* counts the restores, and all revisions of a later era are higher than those of earlier
 /// ones.
 ///
 /// A revision is packed into 64 bits, so that the era adds no bytes to messages. A plain number is
@@ -54,7 +54,7 @@
     }
 }
 
-/// Takes the packed form, as it is sent in messages.
+/// Converts from the packed form, as it is sent in messages.
 impl From<u64> for Revision {
     fn from(bits: u64) -> Self {
         Self(bits)
--- a/src/config/route_table.rs
+++ b/src/config/route_table.rs
@@ -136,7 +136,7 @@
         index.ok().map(|index| &self.routes[index])
     }
 
-    /// Returns whether the service also takes flows of a less urgent route than `route`.
+    /// Returns whether the service also takes new flows of a route that is less urgent than `route`.
     pub fn has_less_urgent_route(&self, route: &Route, service: ServiceId) -> bool {
         let is_less_urgent =
             |other: &Route| other.priority > route.priority && other.is_served_by(service);
--- a/src/config/sealed_id.rs
+++ b/src/config/sealed_id.rs
@@ -1,8 +1,8 @@
 //! Sealed ids: routing tokens in connection ids, and tickets of requests that may run only once.
 //!
-//! Both name an agent and its incarnation, encrypted so that callers can neither read nor forge
-//! them. One cipher block holds all fields. The service in it serves as the check, so that a
-//! guessed id passes with a probability of 2^-32. See docs/DESIGN.md, "Routing token".
+//! Both identify an agent and its incarnation, encrypted so that callers can neither read nor forge
+//! them. One cipher block holds all fields. The service id in it is compared with the expected one,
+//! so that a guessed id passes with a probability of 2^-32. See docs/DESIGN.md, "Routing token".
 
 use std::net::Ipv4Addr;
 
--- a/src/config/service_id.rs
+++ b/src/config/service_id.rs
@@ -1,4 +1,4 @@
-//! The id by which packets and peers name a service.
+//! The id that identifies a service in packets and messages.
 
 use std::fmt;
 
--- a/src/config/table.rs
+++ b/src/config/table.rs
@@ -235,7 +235,8 @@
     Ok(())
 }
 
-/// Sorts the rows by target, and checks what holds between rows.
+/// Sorts the rows by target, and checks that targets and hosts are unique and some weight is above
+/// 0.
 fn sort_and_check(table: &mut Table) -> Result<()> {
     table.rows.sort_by(|a, b| a.target.cmp(&b.target));
     let duplicate = table.rows.windows(2).find(|w| w[0].target == w[1].target);
--- a/src/config/version_stamp.rs
+++ b/src/config/version_stamp.rs
@@ -17,8 +17,8 @@
     ///
     /// Within one era the platform's revisions decide. Across eras they can't: a platform restored
     /// from an older copy shows states as new that were replaced long ago. The writer's versions
-    /// decide then, if both states have one, so that an accepted configuration does not go back
-    /// with the platform.
+    /// decide then, if both states have one, so that a restore does not undo an accepted
+    /// configuration.
     pub fn supersedes(self, other: Self) -> bool {
         let is_same_era = self.revision.era() == other.revision.era();
         let is_versioned = self.version > 0 && other.version > 0;
--- a/src/opaque/flows/flow.rs
+++ b/src/opaque/flows/flow.rs
@@ -4,15 +4,16 @@
 
 use crate::opaque::packets::segment::{FlowKey, Segment};
 
-/// The age at which a request without an answer counts as failed, in milliseconds. A full queue of the
-/// users' slowest requests at a cold backend server takes half of it.
+/// The age at which a request without an answer is overdue and counted as failed, in milliseconds. A
+/// full queue of the users' slowest requests at a cold backend server takes half of it.
 const OVERDUE_MS: u64 = 1_000;
 
-/// How long a request without an answer counts as busy, in milliseconds. Callers of the users' short
-/// requests give up after 2.5 to 3 seconds. Without this limit, a request that the backend server
-/// lost would occupy a slot for the lifetime of its flow.
+/// The timeout after which a request without an answer is no longer busy, in milliseconds. Callers of
+/// the users' short requests give up after 2.5 to 3 seconds. Without this limit, a request that the
+/// backend server lost would occupy a slot for the lifetime of its flow.
 pub(crate) const REQUEST_BUSY_TIMEOUT_MS: u64 = 3_000;
-/// How long a taken opener counts as busy while its caller has not sent a request, in milliseconds.
+/// The timeout after which a taken opener is no longer busy if its caller has sent no request, in
+/// milliseconds.
 pub(crate) const OPENER_BUSY_TIMEOUT_MS: u64 = 500;
 /// [`OPENER_BUSY_TIMEOUT_MS`] for routes with a deadline, whose callers have time for one attempt:
 /// a few round trips between a caller and its backend server. In a rush, many openers come from
@@ -56,7 +57,8 @@
     pub(crate) copy: u32,
     /// How long its caller had waited before the first copy, as far as known, in milliseconds.
     pub(crate) waited_ms: u16,
-    /// How long it counts as busy while its caller has not sent a request, in milliseconds.
+    /// The timeout after which it is no longer busy if its caller has sent no request, in
+    /// milliseconds.
     pub(crate) busy_timeout_ms: u64,
     pub(crate) is_answered: bool,
     pub(crate) backend_sequence: u32,
@@ -71,7 +73,7 @@
     pub(crate) since_ms: u64,
     /// Whether it has been reported as overdue.
     pub(crate) is_overdue: bool,
-    /// How long it counts as busy, in milliseconds.
+    /// The timeout after which it is no longer busy, in milliseconds.
     pub(crate) busy_timeout_ms: u64,
 }
 
@@ -103,8 +105,8 @@
     pub(crate) is_confirmed: bool,
     /// The sequence number after the last byte seen from the caller.
     pub(crate) caller_next_sequence: Option<u32>,
-    /// The next sequence number that the backend server expects, if known. Data before it was sent
-    /// again and is no new request.
+    /// The next sequence number that the backend server expects, if known. Data before it is a
+    /// retransmission and no new request.
     pub(crate) backend_acknowledgement: Option<u32>,
     /// The sequence number after the last byte seen from the backend server.
     pub(crate) backend_next_sequence: Option<u32>,
--- a/src/opaque/flows/flow_table.rs
+++ b/src/opaque/flows/flow_table.rs
@@ -12,8 +12,8 @@
 /// How long a flow is kept after its backend server has ended it, in milliseconds. Its last
 /// acknowledgements still arrive then.
 const CLOSED_TTL_MS: u64 = 2_000;
-/// The age from which the counts are taken again where openers wait for a slot, in milliseconds: a
-/// fraction of the time for which a taken opener counts as busy.
+/// The age at which the counts are renewed while openers wait for a slot, in milliseconds: a fraction
+/// of the shortest busy timeout of an opener.
 const COUNT_MAX_AGE_MS: u64 = 20;
 
 /// The flows of one agent, with counts of the open flows and of the busy requests.
@@ -22,8 +22,8 @@
     flows: FlowMap<Flow>,
     metrics: OpaqueMetrics,
     lifetime_ms: u64,
-    open: u32,
-    busy: u32,
+    open_count: u32,
+    busy_count: u32,
     counted_ms: u64,
 }
 
@@ -34,30 +34,30 @@
             flows: FlowMap::new(MAX_FLOWS),
             metrics: metrics.clone(),
             lifetime_ms,
-            open: 0,
-            busy: 0,
+            open_count: 0,
+            busy_count: 0,
             counted_ms: 0,
         }
     }
 
     /// Returns the number of requests that run or wait at the backend server.
     pub(crate) fn busy_requests(&self) -> u32 {
-        self.busy
+        self.busy_count
     }
 
-    /// Returns [`FlowTable::busy_requests`], counted again if the count is stale.
+    /// Returns [`FlowTable::busy_requests`], renewed if the count is stale.
     ///
     /// A new count leaves out requests and openers whose busy timeout has passed.
     pub(crate) fn fresh_busy_requests(&mut self, now_ms: u64) -> u32 {
         if now_ms >= self.counted_ms + COUNT_MAX_AGE_MS {
             self.recount(now_ms);
         }
-        self.busy
+        self.busy_count
     }
 
     /// Returns the number of flows that are open at the backend server.
     pub(crate) fn open_flows(&self) -> u32 {
-        self.open
+        self.open_count
     }
 
     pub(crate) fn get(&self, key: &FlowKey) -> Option<&Flow> {
@@ -97,7 +97,7 @@
         Some(flow)
     }
 
-    /// Removes the flows of a backend server that ended, and returns those to be reset or passed on.
+    /// Removes the flows of a backend server that ended, and returns those to be reset or handed on.
     ///
     /// Flows first seen at `end_ms` or later stay.
     pub(crate) fn take_orphaned(&mut self, end_ms: u64, now_ms: u64) -> OrphanedFlows {
@@ -155,8 +155,7 @@
         ended
     }
 
-    /// Removes expired flows, counts again, and returns how many requests have become
-    /// overdue.
+    /// Removes expired flows, renews the counts, and returns how many requests have become overdue.
     pub(crate) fn expire(&mut self, now_ms: u64) -> u32 {
         let (mut open, mut busy, mut overdue) = (0, 0, 0);
         let lifetime_ms = self.lifetime_ms;
@@ -180,7 +179,7 @@
             }
             is_kept
         });
-        (self.open, self.busy) = (open, busy);
+        (self.open_count, self.busy_count) = (open, busy);
         self.counted_ms = now_ms;
         self.update_metrics();
         overdue
@@ -193,18 +192,22 @@
             busy += u32::from(flow.is_busy(now_ms));
             true
         });
-        (self.open, self.busy) = (open, busy);
+        (self.open_count, self.busy_count) = (open, busy);
         self.counted_ms = now_ms;
         self.update_metrics();
     }
 
     fn count(&mut self, open: bool, busy: bool, sign: i32) {
-        self.open = self.open.saturating_add_signed(i32::from(open) * sign);
-        self.busy = self.busy.saturating_add_signed(i32::from(busy) * sign);
+        self.open_count = self
+            .open_count
+            .saturating_add_signed(i32::from(open) * sign);
+        self.busy_count = self
+            .busy_count
+            .saturating_add_signed(i32::from(busy) * sign);
     }
 
     fn update_metrics(&self) {
-        self.metrics.flows_open.set(i64::from(self.open));
-        self.metrics.requests_busy.set(i64::from(self.busy));
+        self.metrics.flows_open.set(i64::from(self.open_count));
+        self.metrics.requests_busy.set(i64::from(self.busy_count));
     }
 }
--- a/src/opaque/flows/lookup.rs
+++ b/src/opaque/flows/lookup.rs
@@ -11,7 +11,7 @@
 /// The interval after which agents that did not answer are queried again, in milliseconds.
 ///
 /// For routes with a deadline it doubles with each retry. After a restart of all processes, agents are
-/// too busy to answer at once, and repeated queries would keep them so for as long as callers wait.
+/// too busy to answer at once, and repeated queries would keep them busy for as long as callers wait.
 const RETRY_MS: u64 = 200;
 /// The age at which a lookup is given up, in milliseconds: about the longest interval between two
 /// copies of a caller's packet. The next copy starts another lookup.
@@ -19,18 +19,18 @@
 /// The most agents that a lookup queries.
 ///
 /// On larger sites it queries the first ones in the placement order of the flow, which finds a flow
-/// whose opener was passed on many times. Such a lookup proves nothing.
+/// whose opener was handed on many times. Such a lookup can't prove that no agent holds the flow.
 const MAX_QUERIED: usize = 256;
 /// On sites with more than [`MAX_QUERIED`] agents, the number that are queried before the rest.
 const LARGE_SITE_BATCH: usize = 64;
 /// The number of agents that are queried first if there are more than twice as many. A flow is held by
-/// one of the first eight in its placement order, or by one of the eight to which those may pass an
-/// opener.
+/// one of the first eight in its placement order, or by one of the eight to which those may hand an
+/// opener on.
 pub(crate) const FIRST_QUERIED: usize = 16;
 /// The time after which the other agents are queried too, in milliseconds: several round trips between
 /// availability zones.
 const WIDEN_AFTER_MS: u64 = 20;
-/// The most concurrent lookups of one agent.
+/// The most concurrent lookups of one agent. Packets of further flows start none.
 const MAX_LOOKUPS: usize = 4_096;
 
 /// The outcome of a lookup, as far as its answers show.
--- a/src/opaque/forwarder.rs
+++ b/src/opaque/forwarder.rs
@@ -31,8 +31,8 @@
 /// The most hints that a balancer keeps. A balancer serves hundreds of thousands of flows.
 const MAX_HINTS: usize = 262_144;
 
-/// The largest difference between the acknowledgements of two packets of one flow: a few times the
-/// data that may be in flight.
+/// The largest difference between the acknowledgements of two consecutive packets of one flow, in
+/// bytes: a few times the data that may be in flight.
 const MAX_ACKNOWLEDGEMENT_GAP: u32 = 1 << 20;
 
 /// What a balancer knows of the agent that holds a flow.
@@ -82,7 +82,7 @@
     /// The number of consecutive unanswered openers of each host, sorted by host.
     unanswered_in_a_row: Vec<(Ipv4Addr, u32)>,
     loads: HostLoads,
-    /// The loads over ten seconds, whose mean goes to agents with each opener.
+    /// The loads over ten seconds; their mean is sent to agents with each opener.
     steady_loads: HostLoads,
     means: ServiceMeans,
     waits: ReportedWaits,
@@ -164,9 +164,9 @@
         Ok(Action::ToPeer(host, message, packet))
     }
 
-    /// Returns how long the caller of an opener had waited before its first copy, in milliseconds.
+    /// Returns how long a caller had waited before the first copy of its opener, in milliseconds.
     ///
-    /// Counts the openers that are known to be retries.
+    /// Also counts the openers that are known to be retries.
     fn caller_wait_ms(&mut self, flow: &FlowKey, attempt: usize, now_ms: u64) -> u64 {
         let waited_ms = self.retries.waited_ms(flow, attempt > 0, now_ms);
         self.metrics
@@ -325,8 +325,8 @@
         let order = candidates::by_preference(directory, suspicion, &self.zone, &flow, now_ms);
         match order {
             Ok(order) => Ok((order[0], false)),
-            // Agents that take no new flows still hold open ones, which go on while all of them are
-            // drained or evacuated.
+            // Agents that take no new flows may still hold open ones, so that open flows stay
+            // reachable while all agents are drained or evacuated.
             Err(error) => {
                 let host = candidates::first_agent(directory, &flow).ok_or(error)?;
                 Ok((host, false))
@@ -349,7 +349,7 @@
 
 /// Returns whether the service of an opener is evacuated and no agent can have the opener.
 ///
-/// The caller of a later copy has sent a first one, which an agent may have taken meanwhile.
+/// Returns false for a later copy of an opener, since an agent may have taken the first copy.
 fn is_evacuated_for(directory: &Directory, opener: &Segment) -> bool {
     opener.acknowledgement == 0
         && candidates::is_service_evacuated(directory, &opener.flow_from_caller())
@@ -358,7 +358,7 @@
 /// Returns the load over ten seconds, in thousandths, from the payload of a [`MessageKind::Holds`] or
 /// [`MessageKind::Declined`].
 ///
-/// Returns `None` if the payload ends after its flow.
+/// Returns `None` if the payload contains no load.
 pub fn decode_steady_load(payload: &[u8]) -> Option<u16> {
     let bytes = payload.get(FLOW_KEY_BYTES..)?.first_chunk()?;
     Some(u16::from_be_bytes(*bytes))
@@ -367,7 +367,7 @@
 /// Returns how long a new flow would wait at the sender, in milliseconds, from the payload of a
 /// [`MessageKind::Holds`] or [`MessageKind::Declined`].
 ///
-/// Returns `None` if the payload ends before it.
+/// Returns `None` if the payload contains no wait.
 pub fn decode_wait_ms(payload: &[u8]) -> Option<u16> {
     let bytes = payload.get(FLOW_KEY_BYTES + 2..)?.first_chunk()?;
     Some(u16::from_be_bytes(*bytes))
--- a/src/opaque/forwarder/offers.rs
+++ b/src/opaque/forwarder/offers.rs
@@ -40,9 +40,10 @@
 
     /// Sends a copy of an opener to the agent that has it, or offers it to an agent.
     ///
-    /// The answer to each copy is awaited, even if an agent has the opener: its process may have ended
-    /// with everything that waited there. An opener that this balancer kept for `kept_ms` has waited
-    /// for so much longer than its copy shows. If the whole service is evacuated, the flow is reset.
+    /// The answer to each copy is awaited, even if an agent has the opener: the agent's process may
+    /// have ended, and its waiting openers are then lost. The time `kept_ms` for which this balancer
+    /// kept the opener is added to the caller's wait. If the whole service is evacuated, the flow is
+    /// reset.
     pub(super) fn offer(
         &mut self,
         directory: &Directory,
@@ -54,15 +55,15 @@
     ) -> Result<Action> {
         let flow = segment.flow_from_caller();
         let attempt = segment.acknowledgement as usize;
-        let came_ms = now_ms.saturating_sub(kept_ms);
-        let waited_ms = self.caller_wait_ms(&flow, attempt, came_ms) + kept_ms;
+        let arrived_ms = now_ms.saturating_sub(kept_ms);
+        let waited_ms = self.caller_wait_ms(&flow, attempt, arrived_ms) + kept_ms;
         self.sent_openers.retain(|sent| sent.flow != flow);
         let mut sent = SentOpener::new(segment, Ipv4Addr::UNSPECIFIED, waited_ms, packet, now_ms);
         let held = self.hints.get(&flow).map(|hint| hint.host);
-        let is_there = |host: &Ipv4Addr| {
+        let may_hold_opener = |host: &Ipv4Addr| {
             directory.may_hold_flows(*host) && !suspicion.is_suspected(*host, now_ms)
         };
-        let Some(host) = held.filter(is_there) else {
+        let Some(host) = held.filter(may_hold_opener) else {
             return match self.offer_next(directory, suspicion, sent, now_ms) {
                 Err(_) if is_evacuated_for(directory, segment) => {
                     self.reset_flow(segment, Code::ServiceEvacuated)
@@ -93,9 +94,9 @@
         let host = match offer {
             // An agent that does not answer may run a version without offers.
             Offer::MayDecline(host, _) if sent.was_unanswered => host,
-            Offer::MayDecline(host, most_ms) => {
+            Offer::MayDecline(host, max_wait_ms) => {
                 message.kind = MessageKind::Offer;
-                message.max_wait_ms = most_ms as u16;
+                message.max_wait_ms = max_wait_ms as u16;
                 message.load_permille = self.mean_load(directory, &flow, now_ms);
                 host
             }
--- a/src/opaque/forwarder/sent_openers.rs
+++ b/src/opaque/forwarder/sent_openers.rs
@@ -1,5 +1,5 @@
-//! Openers whose agents have not answered yet. They go to the next agent if they are declined or
-//! remain unanswered.
+//! Openers whose agents have not answered yet. They are sent to the next agent if they are declined
+//! or not answered in time.
 
 use std::net::Ipv4Addr;
 
@@ -18,7 +18,8 @@
 /// The most agents that may decline an opener. Of four agents, at least one almost always has no more
 /// load than the mean.
 const MAX_DECLINES: usize = 3;
-/// The most openers whose answers are awaited at once.
+/// The most openers whose answers are awaited at once. Further ones are not sent to another agent if
+/// they stay unanswered.
 const MAX_SENT_OPENERS: usize = 4_096;
 
 /// An opener that was sent to an agent that has not answered yet.
@@ -66,9 +67,9 @@
 }
 
 impl Forwarder {
-    /// Records that an agent has passed an opener on to another agent.
+    /// Records that the agent on `host` has handed an opener on to another agent.
     ///
-    /// That agent's answer is no longer awaited.
+    /// The answer from `host` is no longer awaited.
     pub fn record_handed_on(&mut self, flow: &FlowKey, host: Ipv4Addr) {
         self.sent_openers
             .retain(|sent| sent.flow != *flow || sent.host != host);
--- a/src/opaque/forwarder/without_routes.rs
+++ b/src/opaque/forwarder/without_routes.rs
@@ -13,7 +13,7 @@
     /// Returns the actions for a caller's packet while the balancer has no configuration.
     ///
     /// A packet of an open flow is shown to agents until one of them holds the flow. An opener is kept
-    /// until there is a configuration.
+    /// until a configuration is in force.
     ///
     /// # Errors
     ///
@@ -50,7 +50,7 @@
 
     /// Offers the openers that arrived before the configuration that is now in force.
     ///
-    /// Only openers of routes with a deadline are offered. Other callers send copies.
+    /// Only openers of routes with a deadline are offered. Callers of other routes send more copies.
     pub fn offer_early_openers(
         &mut self,
         directory: &Directory,
--- a/src/opaque/packets/message.rs
+++ b/src/opaque/packets/message.rs
@@ -25,7 +25,8 @@
     Deliver = 1,
     /// A caller's opener, from an agent that does not take it.
     HandOn = 2,
-    /// An agent takes or holds this flow, and gets its packets from now on.
+    /// The agent on [`Message::host`] took the opener of this flow or holds the flow. Packets of the
+    /// flow are sent there from now on.
     ///
     /// The flow key may be followed by the load of the sender's backend server over ten seconds, in
     /// thousandths of a slot, and that by the time a new flow would wait at the sender, in
@@ -48,7 +49,7 @@
     AttemptFailed = 10,
     /// The sender runs and holds these revisions. Sent to balancers that may have just started.
     Greeting = 11,
-    /// The sender declines this opener for another agent to take.
+    /// The sender declines this opener, so that the balancer sends it to another agent.
     ///
     /// The flow key is followed by a load, and may be followed by a wait, as in [`MessageKind::Holds`].
     Declined = 12,
@@ -61,7 +62,7 @@
 pub struct Message {
     /// The kind of the message.
     pub kind: MessageKind,
-    /// The number of agents that have passed an opener on; 0 for [`MessageKind::Offer`], where the byte
+    /// The number of agents that have handed an opener on; 0 for [`MessageKind::Offer`], where the byte
     /// carries [`Message::max_wait_ms`].
     pub hops: u8,
     /// Whether the flow is known to have opened at [`Message::host`] of a [`MessageKind::Holds`], or at
@@ -87,7 +88,7 @@
     /// The load of the sender's backend server over the last second, as requests for each slot in
     /// thousandths; [`UNKNOWN_LOAD_PERMILLE`] from a process without a backend server.
     ///
-    /// For an opener from a balancer that may be declined, the mean load of the service's backend
+    /// For an opener that the receiver may decline, the mean load of the service's backend
     /// servers over the last ten seconds.
     pub load_permille: u16,
     /// For an opener and for [`MessageKind::AttemptFailed`], how long the caller has waited in failed
--- a/src/opaque/values/batch_diff.rs
+++ b/src/opaque/values/batch_diff.rs
@@ -1,5 +1,5 @@
-//! Compares what a read of the platform returned with the values in force: which are new, which are
-//! older, and which names are no longer published.
+//! Compares a batch read from the platform with the values in force, to find new values, older
+//! values and names that are no longer published.
 
 use std::collections::BTreeMap;
 
@@ -18,7 +18,7 @@
 /// here or from a peer that lags, and flows of a backend server that serves would be reset:
 ///
 /// - the return of an entry that was removed earlier in the batch,
-/// - every newer revision of a whole read, which follows lost history,
+/// - every newer revision in a whole read, since the history lost before it may contain a removal,
 /// - the first state in an era of the platform, since processes that start later hold the value at
 ///   this revision.
 pub fn new_values<'a>(store: &ConfigStore, batch: &'a Batch) -> Vec<IncomingValue<'a>> {
@@ -55,8 +55,8 @@
 
 /// Returns the values of a batch that differ from those in force and are older.
 ///
-/// A read that may be stale returns some after a change. In a read of the newest state they show
-/// that the platform and this process order changes differently.
+/// A read that may be stale returns such values shortly after a change. If a read of the newest
+/// state returns any, the platform and this process order changes differently.
 pub fn dropped_values<'a>(store: &ConfigStore, batch: &'a Batch) -> Vec<DroppedValue<'a>> {
     let older = batch.values.iter().filter_map(|value| {
         let held = store.get(&value.name)?;
--- a/src/opaque/values/directory.rs
+++ b/src/opaque/values/directory.rs
@@ -218,7 +218,7 @@
 
     /// Records that a backend server runs on a host and is not published.
     ///
-    /// Its entry may have lapsed before this process started, which then does not remember it.
+    /// An entry that lapsed before this process started is not known here.
     pub fn record_unlisted(&mut self, host: Ipv4Addr, now_ms: u64) {
         match self.unlisted.binary_search_by_key(&host, |(host, _)| *host) {
             Ok(index) => self.unlisted[index].1 = now_ms,
--- a/src/opaque/values/freshness.rs
+++ b/src/opaque/values/freshness.rs
@@ -29,15 +29,15 @@
 /// The number of such steps before longer ones: if the platform refuses a third of the hosts, at
 /// least one of this many is served in all but one of five thousand cases.
 const SHORT_STEPS: u64 = 8;
-/// The additional age for each process after those, in milliseconds. While the platform answers no
-/// process, each further reader only adds failing calls; long steps make their number depend on the
-/// length of the outage and not on the size of the site.
+/// The additional age for each process after the short steps, in milliseconds. While the platform
+/// answers no process, each further reader only adds failing calls; long steps make their number
+/// depend on the length of the outage and not on the size of the site.
 const LONG_STEP_MS: u64 = 600;
 /// The value used instead of [`STALE_AGE_MS`] once the parent has reported that it can't read, in
 /// milliseconds.
 const PARENT_FAILING_AGE_MS: u64 = 300;
-/// The age step for processes that know no parent, in milliseconds: all of them start without
-/// values then, and the first reads serve all.
+/// The age step for processes that know no parent, in milliseconds. All of them are then starting
+/// without values, and the first successful read supplies the others.
 const NO_PARENT_STEP_MS: u64 = 40;
 
 /// The hash salt of the relay order.
@@ -67,11 +67,11 @@
     location: ProcessLocation<'_>,
     is_trusted: impl Fn(Ipv4Addr) -> bool,
 ) -> RelayPosition {
-    let takes_part = |host: &&Host| host.address == location.host || is_trusted(host.address);
+    let is_eligible = |host: &&Host| host.address == location.host || is_trusted(host.address);
     let mut order: Vec<(u64, &Host)> = hosts
         .all()
         .iter()
-        .filter(takes_part)
+        .filter(is_eligible)
         .map(|host| (hash::host_rank(ORDER_SALT, host.address), host))
         .collect();
     order.sort_unstable_by_key(|(host_rank, host)| (*host_rank, host.address));
@@ -87,7 +87,7 @@
         rank if rank < READER_COUNT => order.first(),
         // Spread over the readers, then over the processes that poll them.
         rank if rank < READER_COUNT * (FAN_OUT + 1) => order.get(rank % READER_COUNT),
-        _ if listed.is_none() => host_near(&order, location.zone, own_hash),
+        _ if listed.is_none() => parent_of_unlisted(&order, location.zone, own_hash),
         rank => order.get((rank - READER_COUNT) / FAN_OUT),
     };
     RelayPosition {
@@ -101,7 +101,7 @@
 ///
 /// Balancers are not listed and there may be hundreds of them. By rank, all of them would poll one
 /// or two agents.
-fn host_near<'a, 'b>(
+fn parent_of_unlisted<'a, 'b>(
     order: &'a [(u64, &'b Host)],
     zone: &str,
     own_hash: usize,
--- a/src/opaque/values/published_entry.rs
+++ b/src/opaque/values/published_entry.rs
@@ -29,7 +29,7 @@
 /// The entry of one backend server, identified by its id, since another backend server may reuse
 /// its address.
 ///
-/// A process that restarts may also reuse its own id: a *lifetime* is an id and a start.
+/// A process that restarts may also reuse its own id: a *lifetime* is an id and a start time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct PublishedEntry {
     pub(crate) id: String,
@@ -42,7 +42,7 @@
     /// Since when its value can't be used; the backend server may still run and hold flows.
     pub(crate) unusable_since_ms: Option<u64>,
     pub(crate) gone: Option<Gone>,
-    /// The end of the backend server's cold start.
+    /// The end of the backend server's cold start, in milliseconds of this process's clock.
     pub(crate) cold_until_ms: u64,
 }
 
--- a/src/opaque/values/restoration.rs
+++ b/src/opaque/values/restoration.rs
@@ -4,11 +4,11 @@
 /// The time after a restore for which the platform may return values that were replaced before it,
 /// in milliseconds.
 ///
-/// Entries are back within about two seconds. The entry of a server that has ended stays in the
-/// copy until three of its heartbeats are missed, which takes 3.6 seconds on the users' sites.
-/// There is no guarantee for when operators have rewritten what the copy lacks. Until this time is
-/// over no flow is sent to a zone that was evacuated before the restore, so a zone that operators
-/// have taken back since stays empty for as long.
+/// Running backend servers rewrite their entries within about two seconds. The entry of a server
+/// that has ended stays in the copy until three of its heartbeats are missed, which takes 3.6
+/// seconds on the users' sites. Operators may take any time to rewrite values that the copy lacks.
+/// During this time no flow is sent to a zone that was evacuated before the restore, even if
+/// operators have taken the zone back since.
 pub const RESTORE_SETTLE_MS: u64 = 5_000;
 
 /// A change in the state of a restore.
--- a/src/opaque/values/startup_backoff.rs
+++ b/src/opaque/values/startup_backoff.rs
@@ -50,7 +50,8 @@
         self.last_seed_answer_ms = now_ms;
     }
 
-    /// Records that a peer holds a configuration, so that the platform may be reachable again.
+    /// Records that a peer holds a configuration, which suggests that the platform is reachable
+    /// again.
     pub fn record_peer_configuration(&mut self) {
         self.has_peer_configuration = true;
     }
--- a/src/opaque/values/value_sync.rs
+++ b/src/opaque/values/value_sync.rs
@@ -26,8 +26,8 @@
 
 /// The first wait after a failed read, in milliseconds.
 const MIN_BACKOFF_MS: u64 = 200;
-/// The longest wait after a failed read, in milliseconds: half of the time in which values that
-/// lapsed during an outage of the platform are back.
+/// The longest wait after a failed read, in milliseconds: half of the time within which entries
+/// that lapsed during an outage of the platform are published again.
 const MAX_BACKOFF_MS: u64 = 1_000;
 /// The interval at which a starting process asks its seeds, in milliseconds.
 const SEED_ASK_INTERVAL_MS: u64 = 200;
@@ -199,7 +199,7 @@
             Revision::ZERO => PlatformRead::Whole,
             after => PlatformRead::Changes {
                 after,
-                // Stale values are confirmed at once.
+                // Stale values are confirmed without waiting for a change.
                 wait_ms: if is_stale { 0 } else { WATCH_WAIT_MS },
             },
         };
@@ -258,7 +258,7 @@
     /// it.
     fn update_restoration(&self) {
         let highest = self.control.store.borrow().digest().highest;
-        // Everything that was read in a new era may be older than the values in force.
+        // If all values of a new era were dropped as older, only `seen_revision` shows the era.
         let highest = highest.max(self.seen_revision.get());
         let clock_ms = self.lapse_clock_ms();
         let event = self
@@ -303,8 +303,8 @@
         );
     }
 
-    /// Puts the new values of a batch into force, and the removal of values that it no longer
-    /// contains.
+    /// Puts the new values of a batch into force, and marks values that the batch no longer contains
+    /// as gone.
     fn apply_batch(&self, batch: &Batch) {
         self.report_dropped(batch);
         let removed = removed_names(&self.control.store.borrow(), batch);
