--- a/src/controllers/control_plane.rs
+++ b/src/controllers/control_plane.rs
@@ -128,7 +128,7 @@
         }))
     }
 
-    /// Records the results of values offered together, announces those put into force, and returns
+    /// Records the results of values received together, announces those put into force, and returns
     /// their names.
     fn record_results<'a>(
         &self,
@@ -144,8 +144,8 @@
 
     /// Records that the process on `host` opened an authenticated control link to this one.
     ///
-    /// A process that starts while the platform does not answer has no host list; these hosts are
-    /// then the peers that it can ask.
+    /// A process that starts while the platform does not answer has no host list; it then pulls
+    /// values from these hosts and from its seeds.
     pub(crate) fn record_inbound_link(&self, host: Ipv4Addr) {
         self.suspicion.borrow_mut().record_answer(host);
         let mut hosts = self.inbound_link_hosts.borrow_mut();
@@ -161,7 +161,8 @@
         self.inbound_link_hosts.borrow().clone()
     }
 
-    /// Counts and logs the result of an offered value; returns whether it was put into force.
+    /// Counts the result of a received value and logs a rejection; returns whether the value was put
+    /// into force.
     fn record_result(
         &self,
         name: &str,
@@ -219,7 +220,7 @@
         self.entry_hosts.borrow().clone()
     }
 
-    /// Caches the entry hosts, since sending an answer needs them.
+    /// Caches the entry hosts, since each answer packet needs them.
     fn cache_entry_hosts(&self) {
         let store = self.store.borrow();
         let entries = store.hosts().with_role(HostRole::Entry);
--- a/src/controllers/relay.rs
+++ b/src/controllers/relay.rs
@@ -19,8 +19,8 @@
 
 /// The period at which a process compares its digest with one peer, in milliseconds.
 pub(crate) const COMPARE_PERIOD_MS: u64 = 1_000;
-/// How far below its own highest revision a process pulls, to get changes that it missed between
-/// newer ones, before it pulls everything.
+/// The number of revisions that a process pulls again below its own highest one, since it may have
+/// missed changes between newer ones. If digests still differ, it pulls everything.
 const RECENT_REVISIONS: u64 = 64;
 /// The number of peers from which a starting process pulls.
 const START_PEERS: usize = 3;
@@ -128,8 +128,8 @@
     Ok(())
 }
 
-/// Fetches from a peer the values with a revision above `floor` that are new here, and pushes them
-/// on.
+/// Fetches from a peer the values with a revision above `floor` that are new here, and pushes those
+/// put into force to all peers.
 pub(crate) async fn pull(
     control: &Rc<ControlPlane>,
     host: Ipv4Addr,
--- a/src/explain/cause.rs
+++ b/src/explain/cause.rs
@@ -27,8 +27,8 @@
     }
 }
 
-/// What may have happened to a request or flow, the most specific first; only the first match
-/// is reported.
+/// The possible causes of the outcome of a request or flow, the most specific first; only the first
+/// match is reported.
 const CAUSES: [EventMeaning; 24] = [
     meaning(
         "request_lost",
--- a/src/explain/mod.rs
+++ b/src/explain/mod.rs
@@ -1,4 +1,4 @@
-//! Follows one request or flow through the log lines of several processes; see docs/OPERATIONS.md.
+//! Traces one request or flow through the log lines of several processes; see docs/OPERATIONS.md.
 
 mod cause;
 mod log_line;
@@ -10,10 +10,10 @@
 pub use crate::explain::log_line::{LogLine, parse_log};
 use crate::explain::trace::Trace;
 
-/// Explains what happened to a request id or to a flow (`CALLER:PORT>ADDRESS:PORT`): first the
+/// Explains what happened to a request ID or to a flow (`CALLER:PORT>ADDRESS:PORT`): first the
 /// causes, then the log lines that concern it.
 ///
-/// `logs` holds the name and text of each log file; the name stands in for the process where lines
+/// `logs` holds the name and text of each log file; the name is used as the process of lines that
 /// don't name one.
 ///
 /// # Errors
--- a/src/explain/trace.rs
+++ b/src/explain/trace.rs
@@ -2,8 +2,8 @@
 
 use crate::explain::log_line::LogLine;
 
-/// Context lines up to this long before the first line of a flow are included: a lapsed backend
-/// server is waited for as long as this, so a change of state may affect a flow that much later.
+/// Context lines up to this long before the first line of a flow are included: processes wait this
+/// long for a lapsed backend server, so a change of state may affect a flow this much later.
 const CONTEXT_BEFORE_MS: u64 = 2_500;
 /// Context lines up to this long after the last line are included: they may explain a missing
 /// answer.
@@ -44,14 +44,14 @@
 /// time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Trace<'a> {
-    /// The flows that carried the request, or the flow that was asked for.
+    /// The flows that carried the request, or the flow that the ID names.
     pub(crate) flows: Vec<&'a str>,
     /// The selected lines, sorted by time.
     pub(crate) lines: Vec<LogLine<'a>>,
 }
 
 impl<'a> Trace<'a> {
-    /// Selects the lines of a request id or of a flow; returns `None` if no line names it.
+    /// Selects the lines of a request ID or of a flow; returns `None` if no line names it.
     pub(crate) fn collect(id: &str, lines: &[LogLine<'a>]) -> Option<Trace<'a>> {
         let names_id = |line: &LogLine<'_>| {
             line.field("request") == Some(id) || line.field("flow") == Some(id)
--- a/src/links/peer_client.rs
+++ b/src/links/peer_client.rs
@@ -24,7 +24,7 @@
 
 /// The timeout of a call, in milliseconds.
 const CALL_TIMEOUT_MS: u64 = 1_000;
-/// The longest state dump taken from a process, in bytes.
+/// The longest state dump accepted from a process, in bytes.
 const MAX_STATE_BYTES: usize = 4 << 20;
 
 /// A peer's reply to an offer of a request.
@@ -32,7 +32,7 @@
 pub(crate) enum OfferReply {
     /// The peer reserved a slot for the request under this ticket.
     Accepted(SealedBytes),
-    /// The peer has no room.
+    /// The peer reserved no slot; the refusal has the reason and the time after which to retry.
     Refused(Refusal),
 }
 
@@ -215,7 +215,7 @@
         .await
     }
 
-    /// Cancels the request under a ticket, since its caller no longer waits.
+    /// Releases the slot that a peer reserved under a ticket, since the caller no longer waits.
     pub(crate) async fn cancel(&self, host: Ipv4Addr, ticket: &SealedBytes) -> Result<()> {
         self.call(host, CALL_TIMEOUT_MS, |client| async move {
             let mut request = client.cancel_request();
--- a/src/process/log_budget.rs
+++ b/src/process/log_budget.rs
@@ -8,6 +8,8 @@
 /// The part of the bucket that is reserved for warnings and errors.
 const RESERVED_LINES: u64 = 100;
 
+/// Also the number of millitokens in a token, so that `LINES_PER_S` tokens a second are equal to
+/// `LINES_PER_S` millitokens a millisecond.
 const MS_PER_S: u64 = 1_000;
 
 /// A token bucket with one token for each line; it counts the lines that were dropped.
--- a/src/process/log_output.rs
+++ b/src/process/log_output.rs
@@ -10,8 +10,8 @@
 use crate::process::clock::unix_time_ms;
 use crate::process::log_budget::{LogBudget, format_dropped_count};
 
-/// The longest line, the rest is cut off: a pipe that polls as writable takes this much without
-/// blocking (`PIPE_BUF` on Linux).
+/// The size at which a line is truncated, in bytes: a pipe that polls as writable accepts this many
+/// without blocking (`PIPE_BUF` on Linux).
 const MAX_LINE_BYTES: usize = 4_096;
 
 /// Standard output with a budget for log lines.
--- a/src/process/mod.rs
+++ b/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! What every process needs: timers, sockets, HTTP, logging, metrics.
+//! The parts that every process uses: timers, sockets, HTTP, logging and metrics.
 //!
 //! A slow reader of log lines or metrics never blocks the process, and a pause of the host is
 //! detected. This folder uses no other folder, and holds no logic of configuration or load
--- a/src/process/udp.rs
+++ b/src/process/udp.rs
@@ -23,7 +23,7 @@
 }
 
 fn request_large_buffers(socket: &Socket) {
-    // With smaller buffers the host only drops more datagrams in a burst.
+    // Errors are ignored, since smaller buffers only cause more drops in a burst.
     let _ = socket.set_recv_buffer_size(SOCKET_BUFFER_BYTES);
     let _ = socket.set_send_buffer_size(SOCKET_BUFFER_BYTES);
 }
--- a/src/programs/daemon.rs
+++ b/src/programs/daemon.rs
@@ -1,4 +1,4 @@
-//! The life of a daemon, from its command line to its exit code.
+//! The lifecycle of a daemon, from its command line to its exit code.
 
 use std::future::Future;
 use std::path::{Path, PathBuf};
@@ -194,7 +194,9 @@
     Ok(())
 }
 
-/// Subscribes the exchange with peers to timers, pauses and changes of the host list.
+/// Registers the actions of the control plane: compares digests with a peer periodically; after a
+/// pause, discards links and suspicions and compares again; closes the links to hosts that are
+/// removed from the host list.
 fn subscribe_to_events(control: &Rc<ControlPlane>, reader_role: &Rc<ReaderRole>) {
     let compare_control = control.clone();
     let reader_role = reader_role.clone();
--- a/src/programs/mod.rs
+++ b/src/programs/mod.rs
@@ -1,7 +1,7 @@
 //! The programs: start and stop of the daemons, and the operators' command line client.
 //!
-//! Invalid settings and arguments end with a numbered error and its remedy, and a process logs that
-//! it stops before it does. Only this folder may use all others.
+//! Invalid settings and arguments end with a numbered error and its remedy, and a process logs its
+//! stop before it exits. Only this folder may use all others.
 
 pub(crate) mod daemon;
 pub(crate) mod operator;
--- a/src/programs/operator/remote.rs
+++ b/src/programs/operator/remote.rs
@@ -99,7 +99,7 @@
     futures_util::future::join_all(hosts.into_iter().map(read)).await
 }
 
-/// Returns the hosts that are named in `states` and are not in it themselves.
+/// Returns the hosts that the states name and whose own state was not requested yet.
 fn unread_hosts(states: &HostStates) -> Vec<Ipv4Addr> {
     let answered = states.iter().filter_map(|(_, state)| state.as_ref());
     let mut unread: Vec<Ipv4Addr> = answered.flat_map(named_hosts).collect();
--- a/src/programs/operator/service_loads.rs
+++ b/src/programs/operator/service_loads.rs
@@ -26,8 +26,8 @@
         "service", "servers", "flows", "busiest", "of share", "least", "of share",
     ])];
     let servers = server_loads(states);
-    for of_service in servers.chunk_by(|one, other| one.service == other.service) {
-        rows.push(service_row(of_service));
+    for service_servers in servers.chunk_by(|one, other| one.service == other.service) {
+        rows.push(service_row(service_servers));
     }
     rows
 }
--- a/src/programs/operator/status.rs
+++ b/src/programs/operator/status.rs
@@ -67,10 +67,10 @@
     let mut zones: Vec<String> = evacuated.map(format_inline).collect();
     zones.sort_unstable();
     let mut rows = vec![table_row(&["evacuated zone", "known to", "of"])];
-    for of_zone in zones.chunk_by(|one, other| one == other) {
-        let known_to = of_zone.len().to_string();
+    for same_zone in zones.chunk_by(|one, other| one == other) {
+        let known_to = same_zone.len().to_string();
         rows.push(table_row(&[
-            &of_zone[0],
+            &same_zone[0],
             &known_to,
             &answered.len().to_string(),
         ]));
@@ -142,8 +142,8 @@
     row
 }
 
-/// Returns the row of a target: the share of its host in the table, and in the open flows as its
-/// load.
+/// Returns the row of a target. The column `table` shows its share of the weights in the table, and
+/// `load` its share of the open flows of the service.
 fn target_row(host: Ipv4Addr, target: &Value, states: &HostStates) -> Vec<String> {
     let service = format_inline(&target["service"]);
     let flows = target["open_flows"].as_u64().unwrap_or(0);
@@ -178,8 +178,8 @@
 fn total_flows(states: &HostStates, service: &str) -> u64 {
     let states = states.iter().filter_map(|(_, state)| state.as_ref());
     let targets = states.flat_map(|state| items(&state["targets"]));
-    let of_service = targets.filter(|target| target["service"] == service);
-    of_service
+    let service_targets = targets.filter(|target| target["service"] == service);
+    service_targets
         .filter_map(|target| target["open_flows"].as_u64())
         .sum()
 }
--- a/src/quic/agent.rs
+++ b/src/quic/agent.rs
@@ -79,7 +79,7 @@
     }
 
     /// Issues a ticket that binds one request to this incarnation. Returns `None` once this
-    /// incarnation has issued all ticket numbers.
+    /// incarnation has issued all ticket counters.
     pub(crate) fn issue_ticket(&self, target: &Target) -> Option<SealedBytes> {
         let ticket = SealedId {
             host: target.host,
--- a/src/quic/agent_lifecycle.rs
+++ b/src/quic/agent_lifecycle.rs
@@ -93,7 +93,8 @@
         *shared_ring = key_ring;
     }
 
-    /// Updates targets, limits and drains to the tables and the host list in force.
+    /// Adds the targets that the tables in force assign to this host, and updates the limits and
+    /// drains of all targets from the tables and the host list in force.
     async fn sync_targets(self: &Rc<Self>) {
         for (table, row) in self.local_rows() {
             if self.target(table.service_id()).is_none()
@@ -183,8 +184,8 @@
                 load_exchange::exchange_with_all_peers(self, target);
             }
         });
-        let limit_ms = self.control.now_ms() + self.control.settings.drain_limit_s * 1_000;
-        while self.open_flows() > 0 && self.control.now_ms() < limit_ms {
+        let deadline_ms = self.control.now_ms() + self.control.settings.drain_limit_s * 1_000;
+        while self.open_flows() > 0 && self.control.now_ms() < deadline_ms {
             compio::time::sleep(DRAIN_POLL).await;
         }
         log::info!("event=drained open_flows={}", self.open_flows());
--- a/src/quic/at_most_once.rs
+++ b/src/quic/at_most_once.rs
@@ -61,7 +61,8 @@
     }
 }
 
-/// Runs a request whose ticket this incarnation issued, unless the ledger has it already.
+/// Runs a request whose ticket this incarnation issued, unless the ledger holds an entry of an
+/// earlier attempt or rejects the ticket.
 async fn run_locally(context: &RequestContext<'_>, counter: u32, body: CallerBody) -> Answer {
     let begin = context
         .target
--- a/src/quic/balancer.rs
+++ b/src/quic/balancer.rs
@@ -96,7 +96,8 @@
         });
     }
 
-    /// Binds a socket for each service and closes those of services whose address has changed.
+    /// Binds a socket for each service, and closes the sockets of services that were removed or
+    /// whose address has changed.
     fn sync_ports(self: &Rc<Self>) {
         let wanted = self.wanted_ports();
         let mut ports = self.ports.borrow_mut();
@@ -286,8 +287,8 @@
         index.ok().map(|index| ports[index].socket.clone())
     }
 
-    /// Announces to every agent that answered through this balancer that it must choose another
-    /// one.
+    /// Announces to every agent that answered through this balancer that the balancer is about to
+    /// stop, so that the agent sends its answers through another one.
     async fn announce_leaving(&self) {
         let agents = self.agents.borrow().clone();
         let unspecified = SocketAddr::from((Ipv4Addr::UNSPECIFIED, 0));
--- a/src/quic/caller_body.rs
+++ b/src/quic/caller_body.rs
@@ -23,8 +23,8 @@
     Bytes,
 >;
 
-/// A body that is read whole, or whose first [`MAX_MOVED_BODY_BYTES`] are read and the rest is
-/// streamed.
+/// A body that was read whole, or a prefix of more than [`MAX_MOVED_BODY_BYTES`] and the stream of
+/// the remainder.
 pub(crate) struct CallerBody {
     prefix: Bytes,
     remainder: Option<BodyStream>,
--- a/src/quic/flow.rs
+++ b/src/quic/flow.rs
@@ -67,8 +67,11 @@
     }
 }
 
-/// Returns the code with which a flow is refused, if any: by the decision on its opener, or by the
-/// hard limit, since other flows may have been accepted since that decision.
+/// Returns the code with which a flow is refused, or `None` if it is accepted.
+///
+/// A flow that the decision on its opener did not refuse is still refused if the row has no
+/// connection left, since other flows may have been accepted since that decision, or if the row is
+/// gone.
 fn refusal_code(agent: &Agent, target: &Target, incoming: &Incoming) -> Option<Code> {
     let admission = target.admission.borrow();
     let opener_hash = hash::bytes_hash(&incoming.orig_dst_cid());
@@ -97,10 +100,11 @@
     serve_requests(&open_flow, &mut flow, drain).await;
 }
 
-/// Serves requests until the caller closes the flow, or until the last one has ended during a
+/// Serves requests until the caller closes the flow, or until the last request has ended during a
 /// drain.
 ///
-/// The tasks of repeatable requests end with the flow, which cancels them at the backend server.
+/// If the flow fails, the tasks of its requests are dropped. This cancels repeatable requests at
+/// the backend server.
 async fn serve_requests(open_flow: &OpenFlowGuard, flow: &mut FlowConnection, drain: DrainStarted) {
     let mut running = FuturesUnordered::new();
     let mut drain = drain.fuse();
--- a/src/quic/moved_request.rs
+++ b/src/quic/moved_request.rs
@@ -17,8 +17,8 @@
 
 /// The largest number of peers to which a request is offered.
 const MAX_OFFERS: usize = 2;
-/// The busy fraction that is assumed for a peer without a fresh report, so that it is asked after
-/// all peers with one.
+/// The busy fraction that is assumed for a peer without a fresh report, so that the request is
+/// offered to it only after all peers with a fresh report.
 const UNKNOWN_BUSY_FRACTION: f64 = 1.0;
 
 /// The outcome of an attempt to run a request at a peer.
--- a/src/quic/packet.rs
+++ b/src/quic/packet.rs
@@ -21,7 +21,7 @@
 pub struct PacketView<'a> {
     /// The destination connection ID.
     pub connection_id: &'a [u8],
-    /// Whether the packet may open a flow, so that the caller may have chosen its connection ID.
+    /// Whether the packet may open a flow. The caller may then have chosen its connection ID.
     pub may_open: bool,
 }
 
--- a/src/quic/steering.rs
+++ b/src/quic/steering.rs
@@ -17,7 +17,7 @@
 pub struct PacketRoute {
     /// The host of the agent.
     pub host: Ipv4Addr,
-    /// Whether the packet may open a flow, so that an answer is expected.
+    /// Whether the packet may open a flow. The agent is then expected to answer it.
     pub may_open: bool,
 }
 
--- a/src/quic/target.rs
+++ b/src/quic/target.rs
@@ -132,7 +132,8 @@
         }
     }
 
-    /// Adjusts the fraction of requests that is moved by the busy time of the last `period_ms`.
+    /// Adjusts the fraction of requests that are moved to peers, according to the busy time of the
+    /// slots in the last `period_ms`.
     pub(crate) fn adjust_moved_fraction(&self, table: &Table, period_ms: u64) {
         let busy_slots = self.slots.take_busy_ms() as f64 / period_ms as f64;
         let weight = table.row_on(self.host).map_or(0, |row| row.weight);
@@ -142,7 +143,7 @@
         moved_fraction.adjust(f64::from(weight), &slot_loads);
     }
 
-    /// Picks a random peer for a moved request, weighted by the busy slots that it is below the
+    /// Picks a random peer for a moved request, weighted by how far its busy slots are below the
     /// mean.
     pub(crate) fn pick_peer(&self, table: &Table) -> Option<Ipv4Addr> {
         let weight = table.row_on(self.host)?.weight;
