--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -2,7 +2,8 @@
 //!
 //! Except for [`slot_queue`], these are plain structs that do no input or output: callers pass in
 //! the current time and a random source. The limits of the table are hard, and a request that must
-//! not run twice never does. Only types of `config` are used, and the clock of `process`.
+//! not run twice never does. This module uses only types of `code` and `config`, and the clock of
+//! `process`.
 
 pub(crate) mod admission;
 pub(crate) mod early_openers;
--- a/src/decisions/stall.rs
+++ b/src/decisions/stall.rs
@@ -201,7 +201,7 @@
     /// Returns whether the backend server was stalled at the last check and has answered nothing
     /// since.
     ///
-    /// After an overdue check the result is `false`, since the agent itself may have been paused.
+    /// Returns `false` if the next check is overdue, since the agent itself may have been paused.
     pub fn is_stalled(&self, now_ms: u64) -> bool {
         self.stalled_since_ms.is_some() && now_ms <= self.last_call_ms + MAX_GAP_MS
     }
--- a/src/opaque/flow_agent/backend_packets.rs
+++ b/src/opaque/flow_agent/backend_packets.rs
@@ -14,7 +14,7 @@
 const SLOW_ANSWER_MS: u64 = 500;
 /// The lowest status that is logged as an error.
 const FIRST_ERROR_STATUS: u16 = 400;
-/// The lowest status that counts as a failure of the backend server and not of its caller.
+/// The lowest status that is a failure of the backend server and not of its caller.
 const FIRST_SERVER_ERROR_STATUS: u16 = 500;
 /// The status of a backend server that has no room. It does not count as a failure while its slots
 /// are busy.
@@ -234,8 +234,8 @@
         } else {
             self.record_served(now_ms);
         }
-        // An answer without a readable status counts as served: refusals are short enough to show
-        // theirs.
+        // An answer without a readable status is treated as served: a refusal is short enough for
+        // its status to be readable.
         let failed = status.is_some_and(|status| status >= FIRST_ERROR_STATUS);
         if failed || took_ms >= SLOW_ANSWER_MS {
             log::info!(
--- a/src/opaque/flow_agent/declines.rs
+++ b/src/opaque/flow_agent/declines.rs
@@ -1,10 +1,10 @@
 //! Openers that an agent declines in favor of a less loaded agent.
 //!
-//! Balancers choose by hash. With a hundred backend servers, each of many balancers receives the
-//! load of a given one too rarely to choose by it. The busiest of a hundred then has by chance 1.3
-//! to 1.5 times the mean load, with flows of several requests each. The agent knows its own load
-//! exactly, and its balancer knows the mean. A declined opener goes back to the balancer, which
-//! offers it to the next agent, because the balancer knows which agents do not answer.
+//! Balancers choose agents by hash: with a hundred backend servers, each of many balancers receives
+//! the load of a given one too rarely to choose by load. The busiest of a hundred then has by
+//! chance 1.3 to 1.5 times the mean load, with flows of several requests each. The agent knows its
+//! own load exactly, and its balancer knows the mean. A declined opener goes back to the balancer,
+//! which offers it to the next agent, because the balancer knows which agents do not answer.
 
 use std::net::Ipv4Addr;
 
--- a/src/opaque/openers/recent_outcomes.rs
+++ b/src/opaque/openers/recent_outcomes.rs
@@ -3,13 +3,13 @@
 /// The half-life of an outcome's weight, in milliseconds: about a dozen requests of a busy backend
 /// server. One that begins to fail is detected within about this time.
 const HALF_LIFE_MS: f64 = 500.0;
-/// The share of failed requests from which a backend server counts as failing. A healthy one fails
-/// almost none; one that is partly broken fails a few tenths.
+/// The share of failed requests from which a backend server is regarded as failing. A healthy one
+/// fails almost none; one that is partly broken fails a few tenths.
 const FAILING_SHARE: f64 = 0.2;
 /// The weight of failed requests below which their share is not significant.
 const MIN_FAILED_WEIGHT: f64 = 1.5;
-/// The number of consecutive failures from which a backend server counts as failing, whatever their
-/// share.
+/// The number of consecutive failures from which a backend server is regarded as failing, whatever
+/// their share.
 const FAILING_IN_A_ROW: u32 = 3;
 
 /// Exponentially decaying counts of answered and of failed requests.
