--- a/src/config/config_store.rs
+++ b/src/config/config_store.rs
@@ -31,7 +31,7 @@
     pub name: String,
     /// The revision in force; 0 before the first one is accepted.
     pub revision: Revision,
-    /// The version that the value's writer gave it, or 0.
+    /// The version that the value's writer assigned to it, or 0.
     pub version: u64,
     /// The text in force.
     pub text: String,
--- a/src/config/version_stamp.rs
+++ b/src/config/version_stamp.rs
@@ -5,10 +5,10 @@
 /// Identifies one state of a published value and orders it among the value's other states.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct VersionStamp {
-    /// The revision that the platform gave the state.
+    /// The revision that the platform assigned to the state.
     pub revision: Revision,
-    /// The version that the state's writer gave it, higher with each change; 0 if the writer gives
-    /// none.
+    /// The version that the state's writer assigned to it, higher with each change; 0 if the writer
+    /// assigns none.
     pub version: u64,
 }
 
@@ -29,7 +29,7 @@
     }
 }
 
-/// Creates the stamp of a state whose writer gives no versions.
+/// Creates the stamp of a state whose writer assigns no versions.
 impl<R: Into<Revision>> From<R> for VersionStamp {
     fn from(revision: R) -> Self {
         Self {
--- a/src/opaque/values/known_balancers.rs
+++ b/src/opaque/values/known_balancers.rs
@@ -56,7 +56,7 @@
     /// greet each one.
     ///
     /// Seeds are greeted even if they never sent a message here: an agent gets messages of few of
-    /// many balancers, and a starting balancer asks the seeds.
+    /// many balancers, and a starting balancer asks the seeds for a configuration.
     pub(crate) fn balancers_to_greet(
         &mut self,
         own: Ipv4Addr,
--- a/src/opaque/values/value_sync.rs
+++ b/src/opaque/values/value_sync.rs
@@ -29,7 +29,7 @@
 /// The longest wait after a failed read, in milliseconds: half of the time within which entries
 /// that lapsed during an outage of the platform are published again.
 const MAX_BACKOFF_MS: u64 = 1_000;
-/// The interval at which a starting process asks its seeds, in milliseconds.
+/// The interval at which a starting process asks its seeds for a configuration, in milliseconds.
 const SEED_ASK_INTERVAL_MS: u64 = 200;
 /// The interval at which a starting process checks whether it has a configuration, in milliseconds.
 const START_POLL_MS: u64 = 10;
@@ -76,7 +76,7 @@
 
     /// Returns once a configuration is in force, from the platform or from a peer.
     ///
-    /// Reads the platform and asks the seeds concurrently, with retries: when a whole site starts,
+    /// Reads the platform and polls the seeds concurrently, with retries: when a whole site starts,
     /// most peers do not run yet and the platform may be unreachable. `ask_seed` sends a request
     /// to a seed.
     pub(crate) async fn wait_for_configuration(self: &Rc<Self>, ask_seed: impl Fn(Ipv4Addr)) {
