--- a/lab/src/backend_server.rs
+++ b/lab/src/backend_server.rs
@@ -147,8 +147,8 @@
     headers.get(TIMEOUT_HEADER)?.to_str().ok()?.parse().ok()
 }
 
-fn parse_or_zero(word: &str) -> u64 {
-    word.parse().unwrap_or(0)
+fn parse_or_zero(text: &str) -> u64 {
+    text.parse().unwrap_or(0)
 }
 
 async fn serve_request(
--- a/lab/src/caller_process.rs
+++ b/lab/src/caller_process.rs
@@ -44,7 +44,7 @@
     /// Returns code 5001 if the process can't be started.
     pub fn start(site: &Site, service: usize, load: &CallerLoad) -> Result<Self> {
         let prefix = format!("s{service}-{:08x}", rand::random::<u32>());
-        let report = site.file(&format!("{prefix}.json"));
+        let report = site.file_path(&format!("{prefix}.json"));
         let arguments = [
             ("--address", site.service_address(service).to_string()),
             ("--service", site.service_name(service).to_owned()),
--- a/lab/src/cli.rs
+++ b/lab/src/cli.rs
@@ -290,12 +290,12 @@
 
 /// Parses a list of addresses separated by commas.
 fn parse_list<T: std::str::FromStr>(text: &str) -> Result<Vec<T>> {
-    let words = text.split(',').filter(|word| !word.is_empty());
-    let parse = |word: &str| {
-        let parsed = word.parse().ok();
-        parsed.ok_or_else(|| Error::new(Code::Usage, format!("{word:?} is not a valid address")))
+    let items = text.split(',').filter(|item| !item.is_empty());
+    let parse = |item: &str| {
+        let parsed = item.parse().ok();
+        parsed.ok_or_else(|| Error::new(Code::Usage, format!("{item:?} is not a valid address")))
     };
-    words.map(parse).collect()
+    items.map(parse).collect()
 }
 
 fn quickstart() -> Result<()> {
--- a/lab/src/fabric.rs
+++ b/lab/src/fabric.rs
@@ -75,7 +75,7 @@
                 list.map(|list| *self.balancers.borrow_mut() = list).is_ok()
             }
             ["faults", drop, duplicate, delay] => {
-                let set = |cell: &Cell<u32>, word: &str| word.parse().map(|n| cell.set(n)).is_ok();
+                let set = |cell: &Cell<u32>, text: &str| text.parse().map(|n| cell.set(n)).is_ok();
                 set(&self.faults.drop_permille, drop)
                     && set(&self.faults.duplicate_permille, duplicate)
                     && set(&self.faults.delay_permille, delay)
--- a/lab/src/opener_summary.rs
+++ b/lab/src/opener_summary.rs
@@ -1,7 +1,7 @@
 //! Summarizes the outcome of each opener, from the log lines of balancers and agents.
 //!
 //! An opener that no agent takes costs its caller hundreds of milliseconds, and no single process
-//! logs its whole course, so that the lines of all processes are combined. The counts are only as
+//! logs all of its steps, so that the lines of all processes are combined. The counts are only as
 //! complete as the lines: a process writes no more lines than its log budget allows, and counts
 //! the lines that it drops.
 
@@ -76,7 +76,7 @@
 /// The outcome of one opener.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OpenerOutcome<'a> {
-    /// The flow that the opener should open.
+    /// The flow that the opener requests.
     pub flow: &'a str,
     /// The service, named by the first of its service addresses.
     pub service: &'a str,
@@ -162,12 +162,12 @@
     ) -> Option<OpenerOutcome<'a>> {
         let first = self.steps.first()?;
         let flow = first.field("flow")?;
-        let end_at = self
+        let end_index = self
             .steps
             .iter()
             .position(|line| is_taken(line) || is_refusal(line));
-        let last_at = end_at.unwrap_or(self.steps.len() - 1);
-        let (steps, last) = (&self.steps[..=last_at], self.steps[last_at]);
+        let last_index = end_index.unwrap_or(self.steps.len() - 1);
+        let (steps, last) = (&self.steps[..=last_index], self.steps[last_index]);
         let not_taken: Vec<&LogLine<'a>> = steps
             .iter()
             .copied()
--- a/lab/src/relay_model.rs
+++ b/lab/src/relay_model.rs
@@ -80,7 +80,7 @@
 }
 
 /// Returns a host list of this many daemons.
-fn hosts(daemons: usize) -> HostList {
+fn host_list(daemons: usize) -> HostList {
     let mut text = format!("{HOSTS_HEADER}\n");
     for index in 0..daemons {
         text += &format!("{},zone-{},backend,live\n", address(index), index % ZONES);
@@ -92,9 +92,9 @@
     (u32::from(address) - 0x0a00_0000) as usize
 }
 
-/// Spreads one change and returns how that went.
+/// Runs the model until all live daemons have the change, and returns the results.
 pub fn run(plan: &RelayPlan) -> RelayOutcome {
-    let hosts = hosts(plan.daemons);
+    let hosts = host_list(plan.daemons);
     let mut random = StdRng::seed_from_u64(plan.seed);
     let is_alive: Vec<bool> = (0..plan.daemons)
         .map(|_| !random.random_bool(plan.dead_share))
@@ -131,6 +131,7 @@
 }
 
 impl Run<'_> {
+    /// Processes events until all live daemons have the change.
     fn spread(&mut self) {
         let live = self.is_alive.iter().filter(|alive| **alive).count();
         let mut with_change = 0;
--- a/lab/src/service_model.rs
+++ b/lab/src/service_model.rs
@@ -64,15 +64,15 @@
     deflected: u64,
 }
 
-fn host(index: usize) -> Ipv4Addr {
+fn host_of_target(index: usize) -> Ipv4Addr {
     Ipv4Addr::new(10, 0, (index / 250) as u8, (index % 250 + 1) as u8)
 }
 
 /// Returns a table with one target for each weight.
-fn table(weights: &[u32]) -> Table {
+fn table_with_weights(weights: &[u32]) -> Table {
     let mut text = format!("{TABLE_HEADER}\n");
     for (index, weight) in weights.iter().enumerate() {
-        let host = host(index);
+        let host = host_of_target(index);
         text += &format!("model,192.0.2.1:443,t{index:04},{host},{host}:80,{weight},4,1000000\n");
     }
     Table::parse(&text).unwrap_or_else(|error| panic!("{error}"))
@@ -83,8 +83,8 @@
     pub fn new(policy: Policy, weights: &[u32], load: ModelLoad, seed: u64) -> Self {
         let mut random = StdRng::seed_from_u64(seed);
         let agent = |index| ModelAgent {
-            host: host(index),
-            admission: Admission::warm(host(index)),
+            host: host_of_target(index),
+            admission: Admission::warm(host_of_target(index)),
             peer_loads: PeerLoads::default(),
             sequence: 0,
             next_exchange_ms: random.random_range(0..load.exchange_ms),
@@ -93,7 +93,7 @@
         Self {
             policy,
             load,
-            table: table(weights),
+            table: table_with_weights(weights),
             agents: (0..weights.len()).map(agent).collect(),
             flow_ends: BinaryHeap::new(),
             random,
@@ -105,11 +105,11 @@
 
     /// Sets the weights of all targets; additional targets start cold.
     pub fn set_weights(&mut self, weights: &[u32]) {
-        self.table = table(weights);
+        self.table = table_with_weights(weights);
         for index in self.agents.len()..weights.len() {
             self.agents.push(ModelAgent {
-                host: host(index),
-                admission: Admission::new(host(index), self.now_ms),
+                host: host_of_target(index),
+                admission: Admission::new(host_of_target(index), self.now_ms),
                 peer_loads: PeerLoads::default(),
                 sequence: 0,
                 next_exchange_ms: self.now_ms,
@@ -127,7 +127,7 @@
     pub fn kill(&mut self, index: usize) -> u64 {
         let lost = u64::from(self.agents[index].admission.open_flows());
         self.agents[index].is_alive = false;
-        self.agents[index].admission = Admission::warm(host(index));
+        self.agents[index].admission = Admission::warm(host_of_target(index));
         self.flow_ends
             .retain(|Reverse((_, target))| *target != index);
         for _ in 0..lost {
--- a/lab/src/site.rs
+++ b/lab/src/site.rs
@@ -72,7 +72,7 @@
     }
 
     /// Sets the connection limit of each target of the services added so far.
-    pub fn connections(mut self, connections: u32) -> Self {
+    pub fn connection_limit(mut self, connections: u32) -> Self {
         self.services
             .iter_mut()
             .for_each(|service| service.connections = connections);
@@ -168,12 +168,12 @@
     }
 
     /// Returns the path of a settings file for the operators' client.
-    pub fn settings_file(&self) -> PathBuf {
-        self.file("balancer-0.ini")
+    pub fn settings_path(&self) -> PathBuf {
+        self.file_path("balancer-0.ini")
     }
 
     /// Returns the path of a file in the site's folder.
-    pub fn file(&self, name: &str) -> PathBuf {
+    pub fn file_path(&self, name: &str) -> PathBuf {
         self.folder.path().join(name)
     }
 
@@ -452,7 +452,7 @@
     ///
     /// # Errors
     ///
-    /// Returns code 5001 if that takes too long.
+    /// Returns code 5001 if they are not ready in time.
     pub async fn wait_ready(&self) -> Result<()> {
         self.wait_until("the daemons", async |site| {
             for (index, host) in site.daemon_hosts().into_iter().enumerate() {
@@ -480,7 +480,7 @@
     ///
     /// # Errors
     ///
-    /// Returns code 5001 if that takes too long.
+    /// Returns code 5001 if they don't have it in time.
     pub async fn wait_revision(&self, hosts: &[Ipv4Addr], revision: u64) -> Result<()> {
         self.wait_until("the revision", async |site| {
             for host in hosts {
@@ -496,7 +496,7 @@
 
     /// Returns the log of a daemon, such as `agent-0`, or an empty string if it has none.
     pub fn log(&self, daemon: &str) -> String {
-        let path: &Path = &self.file(&format!("{daemon}.ini.log"));
+        let path: &Path = &self.file_path(&format!("{daemon}.ini.log"));
         fs::read_to_string(path).unwrap_or_default()
     }
 }
--- a/lab/src/site_files.rs
+++ b/lab/src/site_files.rs
@@ -13,14 +13,17 @@
     pub(crate) fn write_certificate(&self) -> Result<()> {
         let certified = rcgen::generate_simple_self_signed(vec!["localhost".to_owned()]);
         let certified = certified.map_err(|error| Error::new(Code::Io, error.to_string()))?;
-        fs::write(self.file("certificate.pem"), certified.cert.pem())?;
-        fs::write(self.file("key.pem"), certified.signing_key.serialize_pem())?;
+        fs::write(self.file_path("certificate.pem"), certified.cert.pem())?;
+        fs::write(
+            self.file_path("key.pem"),
+            certified.signing_key.serialize_pem(),
+        )?;
         Ok(())
     }
 
     /// Writes the settings file of a daemon and returns its path.
     pub(crate) fn write_settings(&self, name: &str, host: Ipv4Addr, zone: &str) -> Result<PathBuf> {
-        let path = self.file(name);
+        let path = self.file_path(name);
         let text = format!(
             "[process]\nhost = {host}\nzone = {zone}\n\n\
              [network]\ncontrol_port = {CONTROL_PORT}\ndatagram_port = {DATAGRAM_PORT}\n\
@@ -32,10 +35,10 @@
              [log]\nlevel = info\nfile = {}\n",
             self.platform_address(),
             hex::encode([SITE_KEY_BYTE; endivedyke::CLUSTER_KEY_BYTES]),
-            self.file("certificate.pem").display(),
-            self.file("key.pem").display(),
+            self.file_path("certificate.pem").display(),
+            self.file_path("key.pem").display(),
             self.spec.drain_limit_s,
-            self.file(&format!("{name}.log")).display(),
+            self.file_path(&format!("{name}.log")).display(),
         );
         fs::write(&path, text)?;
         Ok(path)
--- a/lab/tests/operator_client.rs
+++ b/lab/tests/operator_client.rs
@@ -145,7 +145,7 @@
 fn state_and_status_show_a_running_site() {
     run(async {
         let site = site(2).await;
-        let settings = site.settings_file().display().to_string();
+        let settings = site.settings_path().display().to_string();
         let balancer = site.balancer_host(0).to_string();
         let agent = site.agent_host(0).to_string();
         let shown = text(&run_client(&["state", "--settings", &settings, &agent])).0;
