--- a/lab/tests/common/opaque.rs
+++ b/lab/tests/common/opaque.rs
@@ -34,7 +34,7 @@
 }
 
 /// Asserts what must hold in every run, whatever faults are injected.
-pub fn assert_promises(site: &OpaqueSite, tally: &CallTally) {
+pub fn assert_no_corruption(site: &OpaqueSite, tally: &CallTally) {
     assert!(tally.answered > 0, "{}", counts_text(tally));
     assert_eq!(tally.wrong, 0, "{}", counts_text(tally));
     assert_eq!(site.claims_run_twice(), 0, "claims ran twice");
@@ -52,8 +52,8 @@
 }
 
 /// Asserts that all requests were answered, and that no flow was reset or refused.
-pub fn assert_no_caller_affected(site: &OpaqueSite, tally: &CallTally) {
-    assert_promises(site, tally);
+pub fn assert_no_visible_failure(site: &OpaqueSite, tally: &CallTally) {
+    assert_no_corruption(site, tally);
     let counts = (tally.answered, tally.failed, tally.reset, tally.refused);
     assert_eq!(counts, (tally.requests, 0, 0, 0), "{}", counts_text(tally));
 }
@@ -69,7 +69,7 @@
     restart(&mut site, &id).await;
     sleep_ms(1_500).await;
     let tally = site.finish_callers().await;
-    assert_promises(&site, &tally);
+    assert_no_corruption(&site, &tally);
     assert!(tally.reset > 0, "{}", counts_text(&tally));
     assert_eq!(tally.failed, 0, "{}", counts_text(&tally));
 }
--- a/lab/tests/opaque_deadlines.rs
+++ b/lab/tests/opaque_deadlines.rs
@@ -4,7 +4,7 @@
 
 use std::time::Instant;
 
-use common::opaque::{CHANGE_TIMEOUT, assert_promises, busiest_backend, counts_text};
+use common::opaque::{CHANGE_TIMEOUT, assert_no_corruption, busiest_backend, counts_text};
 use common::{run, sleep_ms};
 use endivedyke_lab::opaque::{OpaqueSite, OpaqueSiteBuilder, run_soak};
 
@@ -65,14 +65,14 @@
         let calm = site.tally().requests - after;
         assert!(calm < rush / 2, "{calm} requests after a rush of {rush}");
         let tally = site.finish_callers().await;
-        assert_promises(&site, &tally);
+        assert_no_corruption(&site, &tally);
         let counts = (tally.answered, tally.wrongly_reset);
         assert_eq!(counts, (tally.requests, 0), "{}", counts_text(&tally));
     });
 }
 
 #[test]
-fn a_slow_backend_server_answers_all_requests_late() {
+fn all_requests_at_a_slow_backend_server_are_answered_late() {
     run(async {
         let mut site = site_with_deadline().await;
         site.start_callers(&[site.call_plan(0, 12, 0)])
@@ -81,7 +81,7 @@
         site.slow_backend(busiest_backend(&site, 3), 40);
         sleep_ms(1_500).await;
         let tally = site.finish_callers().await;
-        assert_promises(&site, &tally);
+        assert_no_corruption(&site, &tally);
         assert!(tally.slowest_ms >= 200, "{}", counts_text(&tally));
         let counts = (tally.answered, tally.wrongly_reset);
         assert_eq!(counts, (tally.requests, 0), "{}", counts_text(&tally));
@@ -104,7 +104,7 @@
         assert!(before.failed > 0, "{}", counts_text(&before));
         sleep_ms(1_500).await;
         let tally = site.finish_callers().await;
-        assert_promises(&site, &tally);
+        assert_no_corruption(&site, &tally);
         assert_eq!(tally.wrongly_reset, 0, "{}", counts_text(&tally));
         assert_eq!(tally.failed, before.failed, "{}", counts_text(&tally));
         let ended = tally.answered + tally.failed;
--- a/lab/tests/opaque_entries.rs
+++ b/lab/tests/opaque_entries.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::opaque::{assert_no_caller_affected, assert_old_flows_are_reset, site};
+use common::opaque::{assert_no_visible_failure, assert_old_flows_are_reset, site};
 use common::{run, sleep_ms};
 use endivedyke_lab::opaque::OpaqueSiteBuilder;
 
@@ -32,7 +32,7 @@
         site.rewrite_entry(0);
         sleep_ms(1_500).await;
         let tally = site.finish_callers().await;
-        assert_no_caller_affected(&site, &tally);
+        assert_no_visible_failure(&site, &tally);
     });
 }
 
@@ -62,6 +62,6 @@
         sleep_ms(3_000).await;
         assert_eq!(site.open_flows(0), 0, "the change was not read");
         let tally = site.finish_callers().await;
-        assert_no_caller_affected(&site, &tally);
+        assert_no_visible_failure(&site, &tally);
     });
 }
--- a/lab/tests/opaque_evacuation.rs
+++ b/lab/tests/opaque_evacuation.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use common::opaque::{
-    CHANGE_TIMEOUT, assert_no_caller_affected, assert_promises, counts_text, site,
+    CHANGE_TIMEOUT, assert_no_corruption, assert_no_visible_failure, counts_text, site,
 };
 use common::{run, sleep_ms};
 use endivedyke_lab::opaque::{OpaqueSite, OpaqueSiteBuilder, StoreFault, run_soak};
@@ -40,7 +40,10 @@
     let until = Instant::now() + CHANGE_TIMEOUT;
     for host in hosts {
         while site.metric(host, "zones_evacuated").await.ok() != Some(zones as f64) {
-            assert!(Instant::now() < until, "{host} does not know {zones} zones");
+            assert!(
+                Instant::now() < until,
+                "{host} does not report {zones} evacuated zones"
+            );
             sleep_ms(50).await;
         }
     }
@@ -70,7 +73,7 @@
         site.take_zone_back(zone);
         wait_until_taking(&site, 0).await;
         let tally = site.finish_callers().await;
-        assert_no_caller_affected(&site, &tally);
+        assert_no_visible_failure(&site, &tally);
     });
 }
 
@@ -92,7 +95,7 @@
         wait_for_evacuated_zones(&site, 1).await;
         assert_takes_no_openers(&site, 1).await;
         let tally = site.finish_callers().await;
-        assert_promises(&site, &tally);
+        assert_no_corruption(&site, &tally);
     });
 }
 
@@ -112,7 +115,7 @@
         site.store().set_fault(None);
         wait_until_taking(&site, 2).await;
         let tally = site.finish_callers().await;
-        assert_no_caller_affected(&site, &tally);
+        assert_no_visible_failure(&site, &tally);
     });
 }
 
@@ -131,15 +134,15 @@
             assert_takes_no_openers(&site, index).await;
         }
         let tally = site.finish_callers().await;
-        assert_promises(&site, &tally);
+        assert_no_corruption(&site, &tally);
         assert!(tally.refused > 0, "{}", counts_text(&tally));
     });
 }
 
 /// The rate of new flows for a cold server; callers open many times as many.
 const COLD_FLOWS_PER_S: f64 = 12.0;
-/// The number of callers at that rate. The slots of two zones suffice for all of them, so that none
-/// is refused while the third is evacuated, however slow the machine is.
+/// The number of callers in the test of that rate. The slots of two zones suffice for all of them,
+/// so that none is refused while the third is evacuated, however slow the machine is.
 const COLD_CALLERS: usize = 2 * SLOTS;
 /// The number of flows that may exceed the rate over any time: the burst of a quarter of a second,
 /// and one flow of rounding.
@@ -176,7 +179,7 @@
             "too few openers to reach the limit"
         );
         let tally = site.finish_callers().await;
-        assert_no_caller_affected(&site, &tally);
+        assert_no_visible_failure(&site, &tally);
     });
 }
 
--- a/lab/tests/opaque_restored_store.rs
+++ b/lab/tests/opaque_restored_store.rs
@@ -21,7 +21,7 @@
 use std::net::Ipv4Addr;
 use std::time::Instant;
 
-use common::opaque::{CHANGE_TIMEOUT, assert_no_caller_affected, assert_promises};
+use common::opaque::{CHANGE_TIMEOUT, assert_no_corruption, assert_no_visible_failure};
 use common::{run, sleep_ms};
 use endivedyke::Result;
 use endivedyke_lab::Process;
@@ -92,7 +92,7 @@
         site.remove_last_route();
         wait_for_no_openers(&site, INTAKE_SERVER).await;
         let tally = site.finish_callers().await;
-        assert_promises(&site, &tally);
+        assert_no_corruption(&site, &tally);
     });
 }
 
@@ -116,7 +116,7 @@
         site.store().set_fault(None);
         wait_for_no_openers(&site, INTAKE_SERVER).await;
         let tally = site.finish_callers().await;
-        assert_promises(&site, &tally);
+        assert_no_corruption(&site, &tally);
     });
 }
 
@@ -236,7 +236,7 @@
         site.rewrite_lost_values();
         sleep_ms(2_500).await;
         let tally = site.finish_callers().await;
-        assert_no_caller_affected(&site, &tally);
+        assert_no_visible_failure(&site, &tally);
     });
 }
 
@@ -269,7 +269,7 @@
             sleep_ms(50).await;
         }
         let tally = site.finish_callers().await;
-        assert_promises(&site, &tally);
+        assert_no_corruption(&site, &tally);
     });
 }
 
--- a/lab/tests/opaque_site.rs
+++ b/lab/tests/opaque_site.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use common::opaque::{
-    assert_no_caller_affected, assert_old_flows_are_reset, assert_promises, busiest_backend,
+    assert_no_corruption, assert_no_visible_failure, assert_old_flows_are_reset, busiest_backend,
     counts_text, site,
 };
 use common::{run, sleep_ms};
@@ -21,7 +21,7 @@
             .expect("callers start");
         sleep_ms(2_000).await;
         let tally = site.finish_callers().await;
-        assert_no_caller_affected(&site, &tally);
+        assert_no_visible_failure(&site, &tally);
     });
 }
 
@@ -40,7 +40,7 @@
             site.wait_ready().await.expect("the site becomes ready");
         }
         let tally = site.finish_callers().await;
-        assert_no_caller_affected(&site, &tally);
+        assert_no_visible_failure(&site, &tally);
     });
 }
 
@@ -60,7 +60,7 @@
         site.wait_ready().await.expect("the site becomes ready");
         sleep_ms(1_500).await;
         let tally = site.finish_callers().await;
-        assert_promises(&site, &tally);
+        assert_no_corruption(&site, &tally);
         assert_eq!(
             (tally.failed, tally.reset),
             (0, 0),
@@ -82,7 +82,7 @@
             .expect("callers start");
         sleep_ms(2_000).await;
         let tally = site.finish_callers().await;
-        assert_no_caller_affected(&site, &tally);
+        assert_no_visible_failure(&site, &tally);
     });
 }
 
@@ -99,7 +99,7 @@
         site.remove_entry(&id);
         sleep_ms(500).await;
         let tally = site.finish_callers().await;
-        assert_promises(&site, &tally);
+        assert_no_corruption(&site, &tally);
         assert!(tally.reset > 0, "{}", counts_text(&tally));
         assert_eq!(tally.failed, 0, "{}", counts_text(&tally));
     });
@@ -120,7 +120,7 @@
         site.remove_entry(&id);
         sleep_ms(500).await;
         let tally = site.finish_callers().await;
-        assert_promises(&site, &tally);
+        assert_no_corruption(&site, &tally);
         assert!(tally.reset > 0, "{}", counts_text(&tally));
         // A claim that was running on the server can't be retried.
         assert!(tally.failed <= 4, "{}", counts_text(&tally));
@@ -143,7 +143,7 @@
         let taken = site.metric(host, "openers_taken_total").await;
         assert!(taken.expect("the metric") > 0.0);
         let tally = site.finish_callers().await;
-        assert_no_caller_affected(&site, &tally);
+        assert_no_visible_failure(&site, &tally);
     });
 }
 
@@ -166,7 +166,7 @@
         sleep_ms(1_500).await;
         assert_eq!(site.open_flows(0), 0);
         let tally = site.finish_callers().await;
-        assert_no_caller_affected(&site, &tally);
+        assert_no_visible_failure(&site, &tally);
     });
 }
 
@@ -191,7 +191,7 @@
         site.remove_entry(&id);
         sleep_ms(1_000).await;
         let tally = site.finish_callers().await;
-        assert_promises(&site, &tally);
+        assert_no_corruption(&site, &tally);
     });
 }
 
@@ -230,7 +230,7 @@
             );
         }
         let tally = site.finish_callers().await;
-        assert_no_caller_affected(&site, &tally);
+        assert_no_visible_failure(&site, &tally);
     });
 }
 
@@ -289,7 +289,7 @@
             .expect("callers start");
         sleep_ms(800).await;
         let tally = site.finish_callers().await;
-        assert_no_caller_affected(&site, &tally);
+        assert_no_visible_failure(&site, &tally);
     });
 }
 
@@ -311,7 +311,7 @@
         site.wait_ready().await.expect("ready without the store");
         sleep_ms(1_000).await;
         let tally = site.finish_callers().await;
-        assert_promises(&site, &tally);
+        assert_no_corruption(&site, &tally);
         assert_eq!(
             (tally.failed, tally.reset),
             (0, 0),
@@ -351,7 +351,7 @@
         site.store().set_fault(None);
         site.wait_ready().await.expect("the site becomes ready");
         let tally = site.finish_callers().await;
-        assert_promises(&site, &tally);
+        assert_no_corruption(&site, &tally);
         assert_eq!(
             (tally.failed, tally.reset),
             (0, 0),
@@ -425,7 +425,7 @@
             sleep_ms(100).await;
         }
         let tally = site.finish_callers().await;
-        assert_no_caller_affected(&site, &tally);
+        assert_no_visible_failure(&site, &tally);
         assert!(site.are_all_ready(&[host, site.agent_host(0)]).await);
     });
 }
@@ -449,7 +449,7 @@
         }
         sleep_ms(1_000).await;
         let tally = site.finish_callers().await;
-        assert_no_caller_affected(&site, &tally);
+        assert_no_visible_failure(&site, &tally);
     });
 }
 
@@ -481,7 +481,7 @@
             .expect("the metric");
         assert!(dropped > 0.0);
         let tally = site.finish_callers().await;
-        assert_no_caller_affected(&site, &tally);
+        assert_no_visible_failure(&site, &tally);
     });
 }
 
@@ -498,7 +498,7 @@
         // fails.
         sleep_ms(4_500).await;
         let tally = site.finish_callers().await;
-        assert_promises(&site, &tally);
+        assert_no_corruption(&site, &tally);
         let counts = (tally.answered, tally.shed);
         assert_eq!(counts, (tally.requests, 0), "{}", counts_text(&tally));
     });
