--- a/lab/src/caller_process.rs
+++ b/lab/src/caller_process.rs
@@ -77,7 +77,8 @@
         self.process.wait(FINISH_TIMEOUT).await?;
         let text = fs::read_to_string(&self.report)?;
         let stats: std::result::Result<CallerStats, _> = serde_json::from_str(&text);
-        let mut stats = stats.map_err(|error| Error::new(Code::Io, error.to_string()))?;
+        let mut stats = stats
+            .map_err(|error| Error::new(Code::Io, format!("report {:?}: {error}", self.report)))?;
         let mut executed = site.executed_claims(self.service).await?;
         claim_check::count_claim_errors(&mut stats, &mut executed);
         Ok(stats)
--- a/lab/src/cli.rs
+++ b/lab/src/cli.rs
@@ -305,7 +305,7 @@
         return Ok(());
     }
     let message = format!(
-        "{} unknown, {} lost",
+        "{} requests with unknown outcome, {} lost",
         report.stats.unknown, report.stats.lost
     );
     Err(Error::new(Code::OutcomeUnknown, message))
@@ -319,7 +319,7 @@
     }
     Err(Error::new(
         Code::OutcomeUnknown,
-        "a caller or server saw a fault",
+        "a caller or backend server counted a fault; see the counts above",
     ))
 }
 
@@ -338,7 +338,10 @@
     if failed_seeds.is_empty() {
         return Ok(());
     }
-    let message = format!("seeds {} broke a promise", failed_seeds.join(", "));
+    let message = format!(
+        "the soak test failed with seeds {}",
+        failed_seeds.join(", ")
+    );
     Err(Error::new(Code::OutcomeUnknown, message))
 }
 
@@ -385,7 +388,7 @@
     print!("{text}");
     let dropped: u64 = logs.iter().map(|(_, text)| count_dropped_lines(text)).sum();
     if dropped > 0 {
-        eprintln!("processes did not write {dropped} lines, so that the counts are too low");
+        eprintln!("the processes dropped {dropped} log lines: the counts are too low");
     }
     Ok(())
 }
@@ -450,7 +453,8 @@
     };
     let tally = block_on(callers::run(&plan))?;
     let text = serde_json::to_string(&tally);
-    let text = text.map_err(|error| Error::new(Code::Io, error.to_string()))?;
+    let text =
+        text.map_err(|error| Error::new(Code::Io, format!("report of the callers: {error}")))?;
     let path = options.report.clone().unwrap_or_default();
     Ok(std::fs::write(path, text)?)
 }
--- a/lab/src/http_text.rs
+++ b/lab/src/http_text.rs
@@ -28,7 +28,9 @@
         .uri(path)
         .header("host", address.to_string())
         .body(Full::from(body.to_owned()))
-        .map_err(|error| endivedyke::Error::new(endivedyke::Code::Io, error.to_string()))?;
+        .map_err(|error| {
+            endivedyke::Error::new(endivedyke::Code::Io, format!("{method} {path:?}: {error}"))
+        })?;
     let response = endivedyke::send_http_request(address, request, REQUEST_TIMEOUT_MS).await?;
     Ok(String::from_utf8_lossy(response.body()).into_owned())
 }
--- a/lab/src/load.rs
+++ b/lab/src/load.rs
@@ -50,7 +50,7 @@
             "jadepeak" => Ok(Deployment::Jadepeak),
             _ => Err(Error::new(
                 Code::Usage,
-                "unknown deployment; expected panelwerk or jadepeak",
+                format!("unknown deployment {name:?}; use panelwerk or jadepeak"),
             )),
         }
     }
@@ -70,8 +70,10 @@
             "silence-platform" => Ok(LoadEvent::SilencePlatform),
             _ => Err(Error::new(
                 Code::Usage,
-                "unknown event; expected none, restart-balancer, kill-balancer, drain-agent, \
-                 kill-agent, edit-weights or silence-platform",
+                format!(
+                    "unknown event {name:?}; use none, restart-balancer, kill-balancer, \
+                     drain-agent, kill-agent, edit-weights or silence-platform"
+                ),
             )),
         }
     }
--- a/lab/src/loopback_net.rs
+++ b/lab/src/loopback_net.rs
@@ -33,7 +33,12 @@
             let octets = (rand::random_range(16..=250), rand::random_range(0..=250));
             Self::reserve(octets).ok()
         });
-        reserved.ok_or_else(|| Error::new(Code::Io, "no free loopback network"))
+        reserved.ok_or_else(|| {
+            Error::new(
+                Code::Io,
+                format!("none of {MAX_ATTEMPTS} random loopback networks is free"),
+            )
+        })
     }
 
     /// Reserves the network with these second and third octets.
--- a/lab/src/opaque/load.rs
+++ b/lab/src/opaque/load.rs
@@ -81,7 +81,7 @@
         "jadepeak" => Ok([("queue-desk", 7, 7, 55), ("scene-intake", 3, 7, 5)]),
         _ => Err(Error::new(
             Code::Usage,
-            "unknown deployment: use panelwerk or jadepeak",
+            format!("unknown deployment {deployment:?}; use panelwerk or jadepeak"),
         )),
     }
 }
@@ -131,8 +131,10 @@
         "drain-agent" => site.drain_backend(0),
         "silence-platform" => site.store().set_fault(Some(super::StoreFault::Silent)),
         _ => {
-            let events = "unknown event: use none, restart-balancer, kill-balancer, kill-agent, \
-                          crash-backend, drain-agent or silence-platform";
+            let events = format!(
+                "unknown event {event:?}; use none, restart-balancer, kill-balancer, kill-agent, \
+                 crash-backend, drain-agent or silence-platform"
+            );
             return Err(Error::new(Code::Usage, events));
         }
     }
--- a/lab/src/opaque/site/processes.rs
+++ b/lab/src/opaque/site/processes.rs
@@ -109,7 +109,7 @@
             if Instant::now() >= until {
                 return Err(Error::new(
                     Code::Io,
-                    "the site did not become ready in time",
+                    format!("the site was not ready within {READY_TIMEOUT:?}"),
                 ));
             }
             compio::time::sleep(POLL_INTERVAL).await;
--- a/lab/src/process.rs
+++ b/lab/src/process.rs
@@ -131,7 +131,7 @@
             if Instant::now() >= deadline {
                 return Err(Error::new(
                     Code::Io,
-                    "timed out waiting for the process to end",
+                    format!("the process did not end within {timeout:?}"),
                 ));
             }
             compio::time::sleep(Duration::from_millis(10)).await;
--- a/lab/src/site/readiness.rs
+++ b/lab/src/site/readiness.rs
@@ -36,7 +36,7 @@
             if Instant::now() >= deadline {
                 return Err(Error::new(
                     Code::Io,
-                    format!("timed out waiting for {what}"),
+                    format!("timed out after {READY_TIMEOUT:?} waiting for {what}"),
                 ));
             }
             compio::time::sleep(POLL_INTERVAL).await;
--- a/lab/src/site_files.rs
+++ b/lab/src/site_files.rs
@@ -12,7 +12,8 @@
     /// Writes the certificate that agents present to callers, and its key.
     pub(crate) fn write_certificate(&self) -> Result<()> {
         let certified = rcgen::generate_simple_self_signed(vec!["localhost".to_owned()]);
-        let certified = certified.map_err(|error| Error::new(Code::Io, error.to_string()))?;
+        let certified = certified
+            .map_err(|error| Error::new(Code::Io, format!("certificate for localhost: {error}")))?;
         fs::write(self.file("certificate.pem"), certified.cert.pem())?;
         fs::write(self.file("key.pem"), certified.signing_key.serialize_pem())?;
         Ok(())
--- a/src/config/delta.rs
+++ b/src/config/delta.rs
@@ -43,7 +43,13 @@
     ///
     /// Returns code 2302 if the delta was made against another text.
     pub fn apply(&self, old: &str) -> Result<String> {
-        let mismatch = || Error::new(Code::DeltaMismatch, "fetch the whole value");
+        let mismatch = || {
+            let message = format!(
+                "it keeps the first {} lines and replaces the next {}",
+                self.kept_lines, self.removed_lines
+            );
+            Error::new(Code::DeltaMismatch, message)
+        };
         let lines: Vec<&str> = old.split_inclusive('\n').collect();
         let kept = self.kept_lines as usize;
         let tail = kept.saturating_add(self.removed_lines as usize);
--- a/src/config/keys.rs
+++ b/src/config/keys.rs
@@ -100,7 +100,10 @@
     pub fn parse(cluster_key: &ClusterKey, text: &str) -> Result<Self> {
         let mut lines = text.lines();
         if lines.next() != Some(KEYS_HEADER) {
-            return Err(Error::new(Code::KeysSyntax, "line 1 is not the header"));
+            return Err(Error::new(
+                Code::KeysSyntax,
+                format!("line 1 is not {KEYS_HEADER:?}"),
+            ));
         }
         let mut epochs = Vec::new();
         let mut sealing_epochs = Vec::new();
--- a/src/config/platform.rs
+++ b/src/config/platform.rs
@@ -78,7 +78,9 @@
     let revision = era.zip(number(REVISION_HEADER));
     let revision = revision.and_then(|(era, number)| Revision::new(era, number));
     revision.ok_or_else(|| {
-        platform_silent("the revision or era header is missing, not a number or too large")
+        platform_silent(&format!(
+            "the {REVISION_HEADER} or {ERA_HEADER} header is missing, not a number or too large"
+        ))
     })
 }
 
@@ -87,7 +89,7 @@
         let revision = Revision::new(era, number.parse().ok()?)?;
         Some((name.to_owned(), revision))
     });
-    entry.ok_or_else(|| platform_silent(&format!("line {line:?}")))
+    entry.ok_or_else(|| platform_silent(&format!("malformed line {line:?}")))
 }
 
 fn platform_silent(what: &str) -> Error {
--- a/src/controllers/node_server.rs
+++ b/src/controllers/node_server.rs
@@ -248,7 +248,10 @@
     let ticket = node_codec::read_data(params.get_ticket())?;
     let ticket = ticket_bytes(&ticket);
     let ticket = ticket.ok_or_else(|| {
-        crate::error::Error::new(Code::BadRequest, "the ticket has a wrong length")
+        crate::error::Error::new(
+            Code::BadRequest,
+            "the ticket of a forwarded request has a wrong length",
+        )
     })?;
     let request = params.get_request().map_err(node_codec::from_capnp)?;
     let headers = request.get_headers().map_err(node_codec::from_capnp)?;
--- a/src/links/link.rs
+++ b/src/links/link.rs
@@ -42,7 +42,8 @@
         let timeout = Duration::from_millis(CONNECT_TIMEOUT_MS);
         let connected = compio::time::timeout(timeout, connect_from(own_host, address)).await;
         let closed = |what: String| Error::new(Code::LinkClosed, format!("{address}: {what}"));
-        let stream = connected.map_err(|_| closed("timed out".to_owned()))?;
+        let stream = connected
+            .map_err(|_| closed(format!("no connection within {CONNECT_TIMEOUT_MS} ms")))?;
         let mut stream = stream.map_err(|error| closed(error.to_string()))?;
         stream.set_nodelay(true)?;
         link_auth::authenticate(&mut stream, cluster_key, LinkSide::Client).await?;
--- a/src/links/link_auth.rs
+++ b/src/links/link_auth.rs
@@ -54,7 +54,12 @@
 ) -> Result<()> {
     let handshake = exchange_proofs(stream, cluster_key, side);
     let result = compio::time::timeout(HANDSHAKE_TIMEOUT, handshake).await;
-    result.unwrap_or_else(|_| Err(Error::new(Code::LinkClosed, "handshake timed out")))
+    result.unwrap_or_else(|_| {
+        Err(Error::new(
+            Code::LinkClosed,
+            format!("no handshake within {HANDSHAKE_TIMEOUT:?}"),
+        ))
+    })
 }
 
 async fn exchange_proofs(
@@ -70,8 +75,12 @@
     send(stream, own_proof.as_ref().to_vec()).await?;
     let peer_proof = receive(stream, PROOF_BYTES).await?;
     let expected = proof_input(side.other(), &peer_nonce, &own_nonce);
-    hmac::verify(&key, &expected, &peer_proof)
-        .map_err(|_| Error::new(Code::LinkRefused, "the peer's proof is wrong"))
+    hmac::verify(&key, &expected, &peer_proof).map_err(|_| {
+        Error::new(
+            Code::LinkRefused,
+            "its HMAC of the exchanged nonces differs",
+        )
+    })
 }
 
 fn proof_input(side: LinkSide, own_nonce: &[u8], peer_nonce: &[u8]) -> Vec<u8> {
--- a/src/links/peer_client.rs
+++ b/src/links/peer_client.rs
@@ -232,7 +232,9 @@
             let response = client.state_request().send().promise.await?;
             let json = response.get()?.get_json()?;
             if json.len() > MAX_STATE_BYTES {
-                return Err(capnp::Error::failed("state dump too long".to_owned()));
+                return Err(capnp::Error::failed(format!(
+                    "the state dump is larger than {MAX_STATE_BYTES} bytes"
+                )));
             }
             Ok(json.to_string()?)
         })
@@ -257,7 +259,7 @@
             Ok(result) => result.map_err(node_codec::from_capnp),
             Err(_) => Err(Error::new(
                 Code::LinkClosed,
-                format!("{host}: no answer in time"),
+                format!("{host}: no answer within {timeout_ms} ms"),
             )),
         };
         if result.is_err() {
--- a/src/opaque/packets/message.rs
+++ b/src/opaque/packets/message.rs
@@ -185,7 +185,12 @@
     ///
     /// Returns code 4009 if the datagram is not a message of this version.
     pub fn split(datagram: &[u8]) -> Result<(&[u8], Message)> {
-        let malformed = || Error::new(Code::MessageMalformed, format!("{} bytes", datagram.len()));
+        let malformed = || {
+            Error::new(
+                Code::MessageMalformed,
+                format!("a datagram of {} bytes", datagram.len()),
+            )
+        };
         let at = datagram.len().checked_sub(TRAILER_BYTES);
         let (payload, trailer) = datagram.split_at(at.ok_or_else(malformed)?);
         let kind =
--- a/src/process/http_client.rs
+++ b/src/process/http_client.rs
@@ -56,7 +56,12 @@
         read_body(response).await
     };
     let result = compio::time::timeout(Duration::from_millis(timeout_ms), exchange).await;
-    result.unwrap_or_else(|_| Err(Error::new(Code::Io, format!("{address}: timed out"))))
+    result.unwrap_or_else(|_| {
+        Err(Error::new(
+            Code::Io,
+            format!("{address}: no answer within {timeout_ms} ms"),
+        ))
+    })
 }
 
 /// Sends a GET request for `path` and reads the whole response.
@@ -68,7 +73,8 @@
     let request = Request::get(path)
         .header(http::header::HOST, address.to_string())
         .body(Full::default());
-    let request = request.map_err(|error| Error::new(Code::Io, error.to_string()))?;
+    let request =
+        request.map_err(|error| Error::new(Code::Io, format!("GET {path:?}: {error}")))?;
     send_request(address, request, timeout_ms).await
 }
 
--- a/src/quic/agent_datagrams.rs
+++ b/src/quic/agent_datagrams.rs
@@ -70,7 +70,7 @@
             EnvelopeKind::Outbound => {
                 return Err(Error::new(
                     Code::EnvelopeForged,
-                    "an agent received an outbound envelope",
+                    format!("{sender} sent an outbound envelope, which only balancers take"),
                 ));
             }
             EnvelopeKind::Inbound | EnvelopeKind::Deflected | EnvelopeKind::Returned => {}
@@ -101,7 +101,10 @@
                 };
                 self.handle_opener(&target, &arrived).await
             }
-            None => Err(Error::new(Code::PacketUnroutable, "no valid routing token")),
+            None => Err(Error::new(
+                Code::PacketUnroutable,
+                format!("for service {}", envelope.service),
+            )),
         }
     }
 
--- a/src/quic/envelope.rs
+++ b/src/quic/envelope.rs
@@ -114,7 +114,7 @@
         let (packet, trailer) = datagram.split_at(packet_bytes);
         let (fields, tag) = trailer.split_at(ENVELOPE_BYTES - TAG_BYTES);
         if self.tag(packet, fields) != tag {
-            return Err(forged("wrong tag"));
+            return Err(forged("wrong authentication tag"));
         }
         let envelope = read_fields(fields).ok_or_else(|| forged("unknown version or kind"))?;
         Ok((envelope, packet))
--- a/src/quic/packet.rs
+++ b/src/quic/packet.rs
@@ -50,18 +50,20 @@
             may_open: false,
         });
     }
-    let version = packet.get(1..5).ok_or_else(|| short("no version"))?;
+    let version = packet
+        .get(1..5)
+        .ok_or_else(|| short("ends before the version"))?;
     let version = u32::from_be_bytes([version[0], version[1], version[2], version[3]]);
     let id_bytes = usize::from(
         *packet
             .get(5)
-            .ok_or_else(|| short("no connection ID length"))?,
+            .ok_or_else(|| short("ends before the connection ID length"))?,
     );
     if id_bytes > MAX_ID_BYTES {
         return Err(short("connection ID longer than 20 bytes"));
     }
     let connection_id = packet.get(6..6 + id_bytes);
-    let connection_id = connection_id.ok_or_else(|| short("truncated connection ID"))?;
+    let connection_id = connection_id.ok_or_else(|| short("ends within the connection ID"))?;
     let packet_type = (first >> 4) & 0x3;
     let opens_flow = version != VERSION_1 || matches!(packet_type, TYPE_INITIAL | TYPE_ZERO_RTT);
     Ok(PacketView {
--- a/src/quic/steering.rs
+++ b/src/quic/steering.rs
@@ -51,7 +51,10 @@
         });
     }
     if !view.may_open {
-        return Err(Error::new(Code::PacketUnroutable, "no valid routing token"));
+        return Err(Error::new(
+            Code::PacketUnroutable,
+            format!("for service {service}"),
+        ));
     }
     let host = owner_host(store, suspicion, service, view.opener_hash(), now_ms)?;
     Ok(PacketRoute {
