--- a/lab/src/opaque/site.rs
+++ b/lab/src/opaque/site.rs
@@ -51,7 +51,8 @@
 const BALANCER_TEMPLATE: &str = include_str!("../../../deploy/balancer.ini");
 const AGENT_TEMPLATE: &str = include_str!("../../../deploy/agent.ini");
 
-/// Returns the availability zone of a host. Consecutive hosts are in different zones.
+/// Returns the availability zone of a host. Consecutive hosts are in different zones, so that the
+/// balancers, and also the agents, are spread over all three.
 fn zone(host: Ipv4Addr) -> &'static str {
     ZONES[usize::from(host.octets()[3]) % ZONES.len()]
 }
--- a/lab/tests/opaque_evacuation.rs
+++ b/lab/tests/opaque_evacuation.rs
@@ -168,7 +168,7 @@
         let started = Instant::now();
         site.take_zone_back(zone);
         wait_until_taking(&site, 0).await;
-        // Shorter than the cold start, which begins when the agent learns that the zone is back.
+        // Shorter than the cold start, which begins when the agent reads that the zone is back.
         sleep_ms(3_000).await;
         let opened = (site.openers_received(0) - before) as f64;
         let most = COLD_FLOWS_PER_S * started.elapsed().as_secs_f64() + MAX_BURST;
--- a/lab/tests/relay_bounds.rs
+++ b/lab/tests/relay_bounds.rs
@@ -40,7 +40,7 @@
 
 #[test]
 fn a_partition_between_regions_delays_no_daemon() {
-    // Each region has its own readers of the platform.
+    // Each region has its own readers of the platform, so that neither depends on the other.
     let partitioned = RelayPlan {
         is_partitioned: true,
         ..plan(0.02, 0.02)
--- a/src/controllers/platform_reader.rs
+++ b/src/controllers/platform_reader.rs
@@ -62,7 +62,7 @@
 /// values from peers and from the platform.
 ///
 /// Returns when a peer or the platform has answered, since a process that serves before that might
-/// use an older configuration than one that was accepted.
+/// use an older configuration than the one that is in force elsewhere.
 pub(crate) async fn start(control: &Rc<ControlPlane>, reader_role: &ReaderRole) {
     let mut backoff_ms = MIN_BACKOFF_MS;
     loop {
--- a/src/opaque/flow_agent/declines.rs
+++ b/src/opaque/flow_agent/declines.rs
@@ -20,7 +20,7 @@
 const DECLINE_MARGIN: f64 = 0.1;
 /// The minimum of that margin, in thousandths of a slot, so that an idle backend server does not
 /// decline in favor of another idle one.
-const MIN_MARGIN_PERMILLE: f64 = 20.0;
+const MIN_DECLINE_MARGIN_PERMILLE: f64 = 20.0;
 
 /// The wait that an agent reports when it has room but a load above the mean, in milliseconds. It
 /// is more than the round trip to another availability zone, so that long-lived flows do not stay
@@ -56,7 +56,7 @@
             return false;
         }
         let mean = f64::from(message.load_permille);
-        let limit = mean + (DECLINE_MARGIN * mean).max(MIN_MARGIN_PERMILLE);
+        let limit = mean + (DECLINE_MARGIN * mean).max(MIN_DECLINE_MARGIN_PERMILLE);
         let own = self.steady_load_permille(context);
         own.is_some_and(|own| f64::from(own) > limit)
     }
--- a/src/opaque/forwarder/offers.rs
+++ b/src/opaque/forwarder/offers.rs
@@ -10,7 +10,7 @@
 use crate::decisions::offers::{Candidate, Offer, next_offer};
 use crate::decisions::suspicion::Suspicion;
 use crate::error::{Error, Result};
-use crate::opaque::forwarder::sent_openers::{ANSWER_TIMEOUT_MS, SentOpener};
+use crate::opaque::forwarder::sent_openers::{OPENER_ANSWER_TIMEOUT_MS, SentOpener};
 use crate::opaque::forwarder::{Forwarder, is_evacuated_for};
 use crate::opaque::openers::candidates;
 use crate::opaque::packets::action::Action;
@@ -112,7 +112,7 @@
         sent.host = host;
         sent.offered_hosts.push(host);
         sent.sent_ms = now_ms;
-        sent.due_ms = now_ms + ANSWER_TIMEOUT_MS;
+        sent.due_ms = now_ms + OPENER_ANSWER_TIMEOUT_MS;
         let action = Action::ToPeer(host, message, sent.packet.clone());
         self.track(sent);
         Ok(action)
--- a/src/opaque/forwarder/sent_openers.rs
+++ b/src/opaque/forwarder/sent_openers.rs
@@ -11,7 +11,7 @@
 
 /// The time within which an agent must answer an opener, in milliseconds: several round trips between
 /// availability zones, and half of the interval after which callers send a copy.
-pub(super) const ANSWER_TIMEOUT_MS: u64 = 100;
+pub(super) const OPENER_ANSWER_TIMEOUT_MS: u64 = 100;
 /// The number of consecutive unanswered openers after which an agent is suspected. A single one may be
 /// lost or late.
 const SUSPECT_AFTER_UNANSWERED: u32 = 2;
@@ -52,7 +52,7 @@
         now_ms: u64,
     ) -> Self {
         Self {
-            due_ms: now_ms + ANSWER_TIMEOUT_MS,
+            due_ms: now_ms + OPENER_ANSWER_TIMEOUT_MS,
             flow: segment.flow_from_caller(),
             host,
             attempt: segment.acknowledgement as usize,
@@ -92,7 +92,7 @@
         }
         sent.attempt += 1;
         sent.declines += 1;
-        sent.due_ms = now_ms + ANSWER_TIMEOUT_MS;
+        sent.due_ms = now_ms + OPENER_ANSWER_TIMEOUT_MS;
         let attempt = sent.attempt;
         sent.host = self
             .opener_host(directory, suspicion, flow, attempt, now_ms)
@@ -136,7 +136,7 @@
                 self.metrics.hosts_suspected.inc();
             }
             log::info!(
-                "event=opener_unanswered flow={} host={} waited_ms={ANSWER_TIMEOUT_MS} attempt={}",
+                "event=opener_unanswered flow={} host={} waited_ms={OPENER_ANSWER_TIMEOUT_MS} attempt={}",
                 sent.flow,
                 sent.host,
                 sent.attempt
--- a/src/opaque/processes/agent.rs
+++ b/src/opaque/processes/agent.rs
@@ -27,7 +27,7 @@
 use crate::process::udp::{self, BUFFER_BYTES};
 
 /// The time for which a stopping agent still delivers packets to its backend server while it hands
-/// openers on; balancers learn that it stops from the first opener that it hands on.
+/// openers on. The first opener that it hands on shows its balancer that it stops.
 const STOP_GRACE: Duration = Duration::from_millis(200);
 /// The interval at which expired flows are removed, in milliseconds.
 const EXPIRY_INTERVAL_MS: u64 = 1_000;
--- a/src/process/clock.rs
+++ b/src/process/clock.rs
@@ -22,9 +22,10 @@
     }
 }
 
-/// Returns the incarnation number of a process that starts now; later starts get higher numbers.
+/// Returns the incarnation number of a process that starts now.
 ///
-/// It counts ticks of the wall clock and wraps after eight years, which no process reaches.
+/// It counts ticks of the wall clock in 32 bits, so that a later start gets a higher number, except
+/// across a wrap of the counter, which happens every 8.7 years.
 pub(crate) fn incarnation() -> u32 {
     (duration_since_epoch().as_millis() / INCARNATION_TICK_MS) as u32
 }
--- a/src/process/opaque_metrics.rs
+++ b/src/process/opaque_metrics.rs
@@ -168,7 +168,7 @@
             ),
             (
                 "openers_declined",
-                "Openers declined in favour of a less loaded agent",
+                "Openers declined in favor of a less loaded agent",
                 &self.openers_declined,
             ),
             (
